--- a/src/main/java/driftchute/Control.java
+++ b/src/main/java/railspar/Control.java
@@ -1,6 +1,6 @@
-package driftchute;
+package railspar;
 
-import driftchute.LaneState.Phase;
+import railspar.LaneState.Phase;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
--- a/src/main/java/driftchute/Courier.java
+++ b/src/main/java/railspar/Courier.java
@@ -1,4 +1,4 @@
-package driftchute;
+package railspar;
 
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/driftchute/DeliveryRules.java
+++ b/src/main/java/railspar/DeliveryRules.java
@@ -1,8 +1,8 @@
-package driftchute;
+package railspar;
 
-import driftchute.Courier.Effect;
-import driftchute.Courier.MessageClass;
-import driftchute.Courier.Result;
+import railspar.Courier.Effect;
+import railspar.Courier.MessageClass;
+import railspar.Courier.Result;
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.Optional;
--- a/src/main/java/driftchute/DestinationTable.java
+++ b/src/main/java/railspar/DestinationTable.java
@@ -1,8 +1,8 @@
-package driftchute;
+package railspar;
 
-import driftchute.Control.Destination;
-import driftchute.Control.Lane;
-import driftchute.Control.Node;
+import railspar.Control.Destination;
+import railspar.Control.Lane;
+import railspar.Control.Node;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/driftchute/LaneState.java
+++ b/src/main/java/railspar/LaneState.java
@@ -1,4 +1,4 @@
-package driftchute;
+package railspar;
 
 import java.util.Locale;
 import java.util.Map;
--- a/src/main/java/driftchute/bench/Adapter.java
+++ b/src/main/java/railspar/bench/Adapter.java
@@ -1,7 +1,7 @@
-package driftchute.bench;
+package railspar.bench;
 
-import driftchute.Control;
-import driftchute.Courier;
+import railspar.Control;
+import railspar.Courier;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.Writer;
--- a/src/main/java/driftchute/bench/Fields.java
+++ b/src/main/java/railspar/bench/Fields.java
@@ -1,4 +1,4 @@
-package driftchute.bench;
+package railspar.bench;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/driftchute/bench/Main.java
+++ b/src/main/java/railspar/bench/Main.java
@@ -1,4 +1,4 @@
-package driftchute.bench;
+package railspar.bench;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -7,7 +7,7 @@
 import java.io.Writer;
 import java.nio.charset.StandardCharsets;
 
-/** Starts the bench's adapter: {@code java -jar driftchute.jar benchlink}. */
+/** Starts the bench's adapter: {@code java -jar railspar.jar benchlink}. */
 public final class Main {
 
     private static final int BUFFER_CHARS = 1 << 16;
@@ -17,7 +17,7 @@
     /** Runs the adapter on standard input and output until the input ends. */
     public static void main(final String[] args) throws IOException {
         if (args.length != 1 || !args[0].equals("benchlink")) {
-            System.err.println("usage: java -jar driftchute.jar benchlink");
+            System.err.println("usage: java -jar railspar.jar benchlink");
             System.exit(2);
         }
         final var in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), BUFFER_CHARS);
--- a/src/main/java/driftchute/bench/MalformedLineException.java
+++ b/src/main/java/railspar/bench/MalformedLineException.java
@@ -1,4 +1,4 @@
-package driftchute.bench;
+package railspar.bench;
 
 /** A line of the wire or a setting that cannot be read; its message names where it stands and the reason. */
 public final class MalformedLineException extends RuntimeException {
--- a/src/main/java/driftchute/bench/SettingsReader.java
+++ b/src/main/java/railspar/bench/SettingsReader.java
@@ -1,6 +1,6 @@
-package driftchute.bench;
+package railspar.bench;
 
-import driftchute.Courier;
+import railspar.Courier;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/driftchute/list/BaseWriter.java
+++ b/src/main/java/railspar/list/BaseWriter.java
@@ -1,4 +1,4 @@
-package driftchute.list;
+package railspar.list;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/src/main/java/driftchute/list/EndpointTable.java
+++ b/src/main/java/railspar/list/EndpointTable.java
@@ -1,6 +1,6 @@
-package driftchute.list;
+package railspar.list;
 
-import driftchute.Courier;
+import railspar.Courier;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
--- a/src/main/java/driftchute/list/EntryReader.java
+++ b/src/main/java/railspar/list/EntryReader.java
@@ -1,8 +1,8 @@
-package driftchute.list;
+package railspar.list;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
-import driftchute.Courier;
+import railspar.Courier;
 import java.io.IOException;
 
 /** Reads one entry of the list from its fields, which may come in any order. */
--- a/src/main/java/driftchute/list/ListParser.java
+++ b/src/main/java/railspar/list/ListParser.java
@@ -1,4 +1,4 @@
-package driftchute.list;
+package railspar.list;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonFactoryBuilder;
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.core.StreamReadConstraints;
 import com.fasterxml.jackson.core.async.ByteArrayFeeder;
-import driftchute.list.ListFormatException.Fault;
+import railspar.list.ListFormatException.Fault;
 import java.io.IOException;
 
 /**
--- a/src/main/java/driftchute/list/StagedList.java
+++ b/src/main/java/railspar/list/StagedList.java
@@ -1,6 +1,6 @@
-package driftchute.list;
+package railspar.list;
 
-import driftchute.Courier;
+import railspar.Courier;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/main/java/driftchute/list/StoredRecord.java
+++ b/src/main/java/railspar/list/StoredRecord.java
@@ -1,6 +1,6 @@
-package driftchute.list;
+package railspar.list;
 
-import driftchute.Courier;
+import railspar.Courier;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
--- a/src/main/java/driftchute/list/package-info.java
+++ b/src/main/java/railspar/list/package-info.java
@@ -3,4 +3,4 @@
  * copy on disk that outlasts the process. Nothing in here knows of sockets or of the event loop; one thread at a time
  * uses it.
  */
-package driftchute.list;
+package railspar.list;
--- a/src/main/java/driftchute/node/CallCodec.java
+++ b/src/main/java/railspar/node/CallCodec.java
@@ -1,13 +1,13 @@
-package driftchute.node;
+package railspar.node;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import driftchute.Courier;
-import driftchute.Courier.Result;
-import driftchute.node.Endpoints.Answer;
+import railspar.Courier;
+import railspar.Courier.Result;
+import railspar.node.Endpoints.Answer;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpRequest;
--- a/src/main/java/driftchute/node/CollectionWatch.java
+++ b/src/main/java/railspar/node/CollectionWatch.java
@@ -1,4 +1,4 @@
-package driftchute.node;
+package railspar.node;
 
 import java.lang.management.ManagementFactory;
 import java.lang.management.MemoryPoolMXBean;
--- a/src/main/java/driftchute/node/Config.java
+++ b/src/main/java/railspar/node/Config.java
@@ -1,10 +1,10 @@
-package driftchute.node;
+package railspar.node;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import driftchute.Courier;
-import driftchute.bench.Fields;
-import driftchute.bench.MalformedLineException;
-import driftchute.bench.SettingsReader;
+import railspar.Courier;
+import railspar.bench.Fields;
+import railspar.bench.MalformedLineException;
+import railspar.bench.SettingsReader;
 import io.netty.util.NetUtil;
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/driftchute/node/ConfigFile.java
+++ b/src/main/java/railspar/node/ConfigFile.java
@@ -1,4 +1,4 @@
-package driftchute.node;
+package railspar.node;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
--- a/src/main/java/driftchute/node/Discovery.java
+++ b/src/main/java/railspar/node/Discovery.java
@@ -1,11 +1,11 @@
-package driftchute.node;
-
-import driftchute.Courier;
-import driftchute.list.EndpointTable;
-import driftchute.list.ListFormatException;
-import driftchute.list.ListStore;
-import driftchute.list.StagedList;
-import driftchute.list.TableUpdate;
+package railspar.node;
+
+import railspar.Courier;
+import railspar.list.EndpointTable;
+import railspar.list.ListFormatException;
+import railspar.list.ListStore;
+import railspar.list.StagedList;
+import railspar.list.TableUpdate;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/driftchute/node/Endpoints.java
+++ b/src/main/java/railspar/node/Endpoints.java
@@ -1,9 +1,9 @@
-package driftchute.node;
+package railspar.node;
 
-import driftchute.Courier;
-import driftchute.Courier.Result;
-import driftchute.DeliveryRules;
-import driftchute.DeliveryRules.Transmission;
+import railspar.Courier;
+import railspar.Courier.Result;
+import railspar.DeliveryRules;
+import railspar.DeliveryRules.Transmission;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
--- a/src/main/java/driftchute/node/FatalError.java
+++ b/src/main/java/railspar/node/FatalError.java
@@ -1,4 +1,4 @@
-package driftchute.node;
+package railspar.node;
 
 /**
  * Ends the process on a {@link VirtualMachineError}, above all where memory ran out. After one the state of the event
--- a/src/main/java/driftchute/node/Figures.java
+++ b/src/main/java/railspar/node/Figures.java
@@ -1,4 +1,4 @@
-package driftchute.node;
+package railspar.node;
 
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/driftchute/node/HangUp.java
+++ b/src/main/java/railspar/node/HangUp.java
@@ -1,4 +1,4 @@
-package driftchute.node;
+package railspar.node;
 
 import java.lang.reflect.InvocationHandler;
 import java.lang.reflect.Proxy;
--- a/src/main/java/driftchute/node/Held.java
+++ b/src/main/java/railspar/node/Held.java
@@ -1,6 +1,6 @@
-package driftchute.node;
+package railspar.node;
 
-import driftchute.Courier;
+import railspar.Courier;
 
 /**
  * A message that this courier owes an end, as the journal keeps it (times in microseconds of persistent time): what its
--- a/src/main/java/driftchute/node/Host.java
+++ b/src/main/java/railspar/node/Host.java
@@ -1,10 +1,10 @@
-package driftchute.node;
+package railspar.node;
 
-import driftchute.Control;
-import driftchute.Courier;
-import driftchute.DeliveryRules;
-import driftchute.DeliveryRules.Transmission;
-import driftchute.DeliveryRules.Violation;
+import railspar.Control;
+import railspar.Courier;
+import railspar.DeliveryRules;
+import railspar.DeliveryRules.Transmission;
+import railspar.DeliveryRules.Violation;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/driftchute/node/Intake.java
+++ b/src/main/java/railspar/node/Intake.java
@@ -1,6 +1,6 @@
-package driftchute.node;
+package railspar.node;
 
-import driftchute.Courier;
+import railspar.Courier;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/main/java/driftchute/node/KnownList.java
+++ b/src/main/java/railspar/node/KnownList.java
@@ -1,10 +1,10 @@
-package driftchute.node;
+package railspar.node;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
-import driftchute.list.ListParser;
-import driftchute.list.StagedList;
+import railspar.list.ListParser;
+import railspar.list.StagedList;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/main/java/driftchute/node/ListStart.java
+++ b/src/main/java/railspar/node/ListStart.java
@@ -1,4 +1,4 @@
-package driftchute.node;
+package railspar.node;
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/driftchute/node/ListSubscription.java
+++ b/src/main/java/railspar/node/ListSubscription.java
@@ -1,7 +1,7 @@
-package driftchute.node;
+package railspar.node;
 
-import driftchute.list.ListFormatException;
-import driftchute.list.StagedList;
+import railspar.list.ListFormatException;
+import railspar.list.StagedList;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.HttpClientCodec;
 import java.net.InetSocketAddress;
--- a/src/main/java/driftchute/node/Log.java
+++ b/src/main/java/railspar/node/Log.java
@@ -1,4 +1,4 @@
-package driftchute.node;
+package railspar.node;
 
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
--- a/src/main/java/driftchute/node/Marks.java
+++ b/src/main/java/railspar/node/Marks.java
@@ -1,4 +1,4 @@
-package driftchute.node;
+package railspar.node;
 
 import java.io.IOException;
 import java.net.URLDecoder;
--- a/src/main/java/driftchute/node/MemoryBudget.java
+++ b/src/main/java/railspar/node/MemoryBudget.java
@@ -1,4 +1,4 @@
-package driftchute.node;
+package railspar.node;
 
 /**
  * What the messages that a courier holds may take of the heap, and what they take of it now. Each message is charged
--- a/src/main/java/driftchute/node/Notices.java
+++ b/src/main/java/railspar/node/Notices.java
@@ -1,4 +1,4 @@
-package driftchute.node;
+package railspar.node;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
--- a/src/main/java/driftchute/node/Operators.java
+++ b/src/main/java/railspar/node/Operators.java
@@ -1,4 +1,4 @@
-package driftchute.node;
+package railspar.node;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/driftchute/node/PatientLoopGroup.java
+++ b/src/main/java/railspar/node/PatientLoopGroup.java
@@ -1,4 +1,4 @@
-package driftchute.node;
+package railspar.node;
 
 import io.netty.channel.IoEventLoop;
 import io.netty.channel.IoHandlerFactory;
--- a/src/main/java/driftchute/node/Predecessor.java
+++ b/src/main/java/railspar/node/Predecessor.java
@@ -1,6 +1,6 @@
-package driftchute.node;
+package railspar.node;
 
-import driftchute.Courier;
+import railspar.Courier;
 import java.io.DataInputStream;
 import java.io.IOException;
 import java.nio.channels.FileChannel;
--- a/src/main/java/driftchute/node/TrackedSocketChannel.java
+++ b/src/main/java/railspar/node/TrackedSocketChannel.java
@@ -1,6 +1,6 @@
-package driftchute.node;
+package railspar.node;
 
-import driftchute.DeliveryRules.Transmission;
+import railspar.DeliveryRules.Transmission;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelOutboundBuffer;
 import io.netty.channel.socket.nio.NioSocketChannel;
--- a/src/main/java/driftchute/node/UnrecordedCalls.java
+++ b/src/main/java/railspar/node/UnrecordedCalls.java
@@ -1,6 +1,6 @@
-package driftchute.node;
+package railspar.node;
 
-import driftchute.Courier;
+import railspar.Courier;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongPredicate;
--- a/src/main/java/driftchute/node/Watch.java
+++ b/src/main/java/railspar/node/Watch.java
@@ -1,8 +1,8 @@
-package driftchute.node;
+package railspar.node;
 
-import driftchute.list.ListFormatException;
-import driftchute.list.ListParser;
-import driftchute.list.StagedList;
+import railspar.list.ListFormatException;
+import railspar.list.ListParser;
+import railspar.list.StagedList;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelException;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/driftchute/node/WatchEnd.java
+++ b/src/main/java/railspar/node/WatchEnd.java
@@ -1,4 +1,4 @@
-package driftchute.node;
+package railspar.node;
 
 /** Why a watch on the list has ended. */
 enum WatchEnd {
--- a/src/main/java/driftchute/scale/RealCourierRun.java
+++ b/src/main/java/railspar/scale/RealCourierRun.java
@@ -1,17 +1,17 @@
-package driftchute.scale;
-
-import driftchute.scale.fleet.FleetFigures;
-import driftchute.scale.real.CourierConfiguration;
-import driftchute.scale.real.CourierLimits;
-import driftchute.scale.real.DeployFile;
-import driftchute.scale.real.ProcessSample;
-import driftchute.scale.real.RealCourier;
-import driftchute.scale.standin.ConnectionTraffic;
-import driftchute.scale.standin.DiscoveryServer;
-import driftchute.scale.standin.EndpointEntry;
-import driftchute.scale.standin.FleetPlan;
-import driftchute.scale.standin.ListHistory;
-import driftchute.scale.standin.LoopbackPorts;
+package railspar.scale;
+
+import railspar.scale.fleet.FleetFigures;
+import railspar.scale.real.CourierConfiguration;
+import railspar.scale.real.CourierLimits;
+import railspar.scale.real.DeployFile;
+import railspar.scale.real.ProcessSample;
+import railspar.scale.real.RealCourier;
+import railspar.scale.standin.ConnectionTraffic;
+import railspar.scale.standin.DiscoveryServer;
+import railspar.scale.standin.EndpointEntry;
+import railspar.scale.standin.FleetPlan;
+import railspar.scale.standin.ListHistory;
+import railspar.scale.standin.LoopbackPorts;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.net.InetSocketAddress;
--- a/src/main/java/driftchute/scale/ResultTable.java
+++ b/src/main/java/railspar/scale/ResultTable.java
@@ -1,6 +1,6 @@
-package driftchute.scale;
+package railspar.scale;
 
-import driftchute.scale.fleet.FleetFigures;
+import railspar.scale.fleet.FleetFigures;
 import java.util.Locale;
 
 /** The result of a run as a table for people. */
--- a/src/main/java/driftchute/scale/RunCommand.java
+++ b/src/main/java/railspar/scale/RunCommand.java
@@ -1,12 +1,12 @@
-package driftchute.scale;
-
-import driftchute.scale.fleet.Disturbances;
-import driftchute.scale.fleet.FleetFigures;
-import driftchute.scale.fleet.FleetParameters;
-import driftchute.scale.fleet.FleetRun;
-import driftchute.scale.fleet.Progress;
-import driftchute.scale.fleet.SurroundingsModel;
-import driftchute.scale.standin.FleetPlan;
+package railspar.scale;
+
+import railspar.scale.fleet.Disturbances;
+import railspar.scale.fleet.FleetFigures;
+import railspar.scale.fleet.FleetParameters;
+import railspar.scale.fleet.FleetRun;
+import railspar.scale.fleet.Progress;
+import railspar.scale.fleet.SurroundingsModel;
+import railspar.scale.standin.FleetPlan;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/driftchute/scale/RunResult.java
+++ b/src/main/java/railspar/scale/RunResult.java
@@ -1,9 +1,9 @@
-package driftchute.scale;
+package railspar.scale;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
-import driftchute.scale.fleet.FleetFigures;
-import driftchute.scale.fleet.FleetParameters;
+import railspar.scale.fleet.FleetFigures;
+import railspar.scale.fleet.FleetParameters;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
--- a/src/main/java/driftchute/scale/ScaleCommand.java
+++ b/src/main/java/railspar/scale/ScaleCommand.java
@@ -1,9 +1,9 @@
-package driftchute.scale;
+package railspar.scale;
 
-import driftchute.scale.real.BacklogSlopeCommand;
-import driftchute.scale.real.ChangeScheduleCommand;
-import driftchute.scale.real.ListSlopeCommand;
-import driftchute.scale.slope.SlopeCommand;
+import railspar.scale.real.BacklogSlopeCommand;
+import railspar.scale.real.ChangeScheduleCommand;
+import railspar.scale.real.ListSlopeCommand;
+import railspar.scale.slope.SlopeCommand;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
--- a/src/main/java/driftchute/scale/fleet/AnswerLoss.java
+++ b/src/main/java/railspar/scale/fleet/AnswerLoss.java
@@ -1,4 +1,4 @@
-package driftchute.scale.fleet;
+package railspar.scale.fleet;
 
 /** Which answers of destinations the emulator loses, by a fault put in on purpose; a test of the sums. */
 @FunctionalInterface
--- a/src/main/java/driftchute/scale/fleet/AttemptCall.java
+++ b/src/main/java/railspar/scale/fleet/AttemptCall.java
@@ -1,4 +1,4 @@
-package driftchute.scale.fleet;
+package railspar.scale.fleet;
 
 /**
  * A call that a courier made.
--- a/src/main/java/driftchute/scale/fleet/ControlTraffic.java
+++ b/src/main/java/railspar/scale/fleet/ControlTraffic.java
@@ -1,4 +1,4 @@
-package driftchute.scale.fleet;
+package railspar.scale.fleet;
 
 /** Bytes between one courier and discovery, by the simulated minute. */
 final class ControlTraffic {
--- a/src/main/java/driftchute/scale/fleet/ControlUplink.java
+++ b/src/main/java/railspar/scale/fleet/ControlUplink.java
@@ -1,4 +1,4 @@
-package driftchute.scale.fleet;
+package railspar.scale.fleet;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/driftchute/scale/fleet/CourierList.java
+++ b/src/main/java/railspar/scale/fleet/CourierList.java
@@ -1,11 +1,11 @@
-package driftchute.scale.fleet;
-
-import driftchute.Courier;
-import driftchute.list.EndpointTable;
-import driftchute.list.ListParser;
-import driftchute.list.ListStore;
-import driftchute.list.StagedList;
-import driftchute.list.TableUpdate;
+package railspar.scale.fleet;
+
+import railspar.Courier;
+import railspar.list.EndpointTable;
+import railspar.list.ListParser;
+import railspar.list.ListStore;
+import railspar.list.StagedList;
+import railspar.list.TableUpdate;
 import java.io.IOException;
 import java.nio.file.DirectoryStream;
 import java.nio.file.Files;
--- a/src/main/java/driftchute/scale/fleet/CourierSettings.java
+++ b/src/main/java/railspar/scale/fleet/CourierSettings.java
@@ -1,7 +1,7 @@
-package driftchute.scale.fleet;
+package railspar.scale.fleet;
 
-import driftchute.Courier;
-import driftchute.scale.standin.FleetPlan;
+import railspar.Courier;
+import railspar.scale.standin.FleetPlan;
 import java.util.List;
 
 /** The settings of a hollow courier: three classes of message, one kind of destination. */
--- a/src/main/java/driftchute/scale/fleet/Destinations.java
+++ b/src/main/java/railspar/scale/fleet/Destinations.java
@@ -1,6 +1,6 @@
-package driftchute.scale.fleet;
+package railspar.scale.fleet;
 
-import driftchute.Courier;
+import railspar.Courier;
 import java.util.BitSet;
 import java.util.Random;
 import org.HdrHistogram.Histogram;
--- a/src/main/java/driftchute/scale/fleet/Discovery.java
+++ b/src/main/java/railspar/scale/fleet/Discovery.java
@@ -1,7 +1,7 @@
-package driftchute.scale.fleet;
+package railspar.scale.fleet;
 
-import driftchute.scale.standin.EndpointEntry;
-import driftchute.scale.standin.ListHistory;
+import railspar.scale.standin.EndpointEntry;
+import railspar.scale.standin.ListHistory;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
--- a/src/main/java/driftchute/scale/fleet/Disturbances.java
+++ b/src/main/java/railspar/scale/fleet/Disturbances.java
@@ -1,4 +1,4 @@
-package driftchute.scale.fleet;
+package railspar.scale.fleet;
 
 /**
  * What goes wrong during a run, besides destinations that are down.
--- a/src/main/java/driftchute/scale/fleet/FleetFigures.java
+++ b/src/main/java/railspar/scale/fleet/FleetFigures.java
@@ -1,4 +1,4 @@
-package driftchute.scale.fleet;
+package railspar.scale.fleet;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.ArrayList;
--- a/src/main/java/driftchute/scale/fleet/FleetParameters.java
+++ b/src/main/java/railspar/scale/fleet/FleetParameters.java
@@ -1,9 +1,9 @@
-package driftchute.scale.fleet;
+package railspar.scale.fleet;
 
-import static driftchute.scale.fleet.Disturbances.NONE;
-import static driftchute.scale.fleet.Disturbances.require;
+import static railspar.scale.fleet.Disturbances.NONE;
+import static railspar.scale.fleet.Disturbances.require;
 
-import driftchute.scale.standin.FleetPlan;
+import railspar.scale.standin.FleetPlan;
 
 /**
  * Everything that decides how a fleet run goes.
--- a/src/main/java/driftchute/scale/fleet/FleetRun.java
+++ b/src/main/java/railspar/scale/fleet/FleetRun.java
@@ -1,6 +1,6 @@
-package driftchute.scale.fleet;
+package railspar.scale.fleet;
 
-import driftchute.scale.standin.EndpointEntry;
+import railspar.scale.standin.EndpointEntry;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
--- a/src/main/java/driftchute/scale/fleet/HollowCourier.java
+++ b/src/main/java/railspar/scale/fleet/HollowCourier.java
@@ -1,7 +1,7 @@
-package driftchute.scale.fleet;
+package railspar.scale.fleet;
 
-import driftchute.Control;
-import driftchute.Courier;
+import railspar.Control;
+import railspar.Courier;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.Path;
--- a/src/main/java/driftchute/scale/fleet/ListWatch.java
+++ b/src/main/java/railspar/scale/fleet/ListWatch.java
@@ -1,4 +1,4 @@
-package driftchute.scale.fleet;
+package railspar.scale.fleet;
 
 import java.util.Random;
 import java.util.function.BooleanSupplier;
@@ -21,7 +21,7 @@
         ControlUplink.Transfer request(long bytes, ControlUplink.Completion completion);
     }
 
-    /** These are the pauses of the real courier ({@code driftchute.node.Discovery}). */
+    /** These are the pauses of the real courier ({@code railspar.node.Discovery}). */
     private static final long SILENT_US = 3_000 * Units.US_PER_MS;
 
     private static final long FIRST_WORD_US = 1_000 * Units.US_PER_MS;
--- a/src/main/java/driftchute/scale/fleet/MessageCounts.java
+++ b/src/main/java/railspar/scale/fleet/MessageCounts.java
@@ -1,4 +1,4 @@
-package driftchute.scale.fleet;
+package railspar.scale.fleet;
 
 /** What became of messages; the counts of couriers can be added up. */
 final class MessageCounts {
--- a/src/main/java/driftchute/scale/fleet/OpenMessage.java
+++ b/src/main/java/railspar/scale/fleet/OpenMessage.java
@@ -1,6 +1,6 @@
-package driftchute.scale.fleet;
+package railspar.scale.fleet;
 
-import driftchute.Courier;
+import railspar.Courier;
 
 /** A message that a courier has taken and that has no end yet, as its journal would hold it. */
 final class OpenMessage {
--- a/src/main/java/driftchute/scale/fleet/ProcessorTime.java
+++ b/src/main/java/railspar/scale/fleet/ProcessorTime.java
@@ -1,4 +1,4 @@
-package driftchute.scale.fleet;
+package railspar.scale.fleet;
 
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
--- a/src/main/java/driftchute/scale/fleet/Progress.java
+++ b/src/main/java/railspar/scale/fleet/Progress.java
@@ -1,4 +1,4 @@
-package driftchute.scale.fleet;
+package railspar.scale.fleet;
 
 /** Told now and then how far a run is. */
 @FunctionalInterface
--- a/src/main/java/driftchute/scale/fleet/RegionCut.java
+++ b/src/main/java/railspar/scale/fleet/RegionCut.java
@@ -1,6 +1,6 @@
-package driftchute.scale.fleet;
+package railspar.scale.fleet;
 
-import driftchute.scale.standin.FleetPlan;
+import railspar.scale.standin.FleetPlan;
 import java.util.HashMap;
 import java.util.Map;
 
--- a/src/main/java/driftchute/scale/fleet/Seeds.java
+++ b/src/main/java/railspar/scale/fleet/Seeds.java
@@ -1,4 +1,4 @@
-package driftchute.scale.fleet;
+package railspar.scale.fleet;
 
 /** Seeds for the parts of a run, all drawn from the one of the parameters. */
 final class Seeds {
--- a/src/main/java/driftchute/scale/fleet/SurroundingsModel.java
+++ b/src/main/java/railspar/scale/fleet/SurroundingsModel.java
@@ -1,4 +1,4 @@
-package driftchute.scale.fleet;
+package railspar.scale.fleet;
 
 /**
  * Figures assumed of what surrounds the couriers; none of them is measured here.
--- a/src/main/java/driftchute/scale/fleet/Units.java
+++ b/src/main/java/railspar/scale/fleet/Units.java
@@ -1,4 +1,4 @@
-package driftchute.scale.fleet;
+package railspar.scale.fleet;
 
 /** Units of the simulated clock, which counts microseconds. */
 final class Units {
--- a/src/main/java/driftchute/scale/real/BacklogFiller.java
+++ b/src/main/java/railspar/scale/real/BacklogFiller.java
@@ -1,8 +1,8 @@
-package driftchute.scale.real;
+package railspar.scale.real;
 
-import driftchute.scale.standin.ClientConnection;
-import driftchute.scale.standin.HandIn;
-import driftchute.scale.standin.HandInAnswer;
+import railspar.scale.standin.ClientConnection;
+import railspar.scale.standin.HandIn;
+import railspar.scale.standin.HandInAnswer;
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.ArrayList;
--- a/src/main/java/driftchute/scale/real/BacklogSlopeResult.java
+++ b/src/main/java/railspar/scale/real/BacklogSlopeResult.java
@@ -1,4 +1,4 @@
-package driftchute.scale.real;
+package railspar.scale.real;
 
 import java.util.List;
 
--- a/src/main/java/driftchute/scale/real/ChangeScheduleCommand.java
+++ b/src/main/java/railspar/scale/real/ChangeScheduleCommand.java
@@ -1,10 +1,10 @@
-package driftchute.scale.real;
+package railspar.scale.real;
 
-import driftchute.scale.standin.ConnectionTraffic;
-import driftchute.scale.standin.DiscoveryServer;
-import driftchute.scale.standin.EndpointEntry;
-import driftchute.scale.standin.ListHistory;
-import driftchute.scale.standin.LoopbackPorts;
+import railspar.scale.standin.ConnectionTraffic;
+import railspar.scale.standin.DiscoveryServer;
+import railspar.scale.standin.EndpointEntry;
+import railspar.scale.standin.ListHistory;
+import railspar.scale.standin.LoopbackPorts;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
--- a/src/main/java/driftchute/scale/real/ChangeScheduleResult.java
+++ b/src/main/java/railspar/scale/real/ChangeScheduleResult.java
@@ -1,4 +1,4 @@
-package driftchute.scale.real;
+package railspar.scale.real;
 
 /**
  * What a list that changes at a steady pace costs one real courier.
--- a/src/main/java/driftchute/scale/real/CourierConfiguration.java
+++ b/src/main/java/railspar/scale/real/CourierConfiguration.java
@@ -1,9 +1,9 @@
-package driftchute.scale.real;
+package railspar.scale.real;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import driftchute.scale.standin.FleetPlan;
+import railspar.scale.standin.FleetPlan;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
--- a/src/main/java/driftchute/scale/real/CourierLimits.java
+++ b/src/main/java/railspar/scale/real/CourierLimits.java
@@ -1,4 +1,4 @@
-package driftchute.scale.real;
+package railspar.scale.real;
 
 /**
  * The limits that a courier's configuration tells it.
--- a/src/main/java/driftchute/scale/real/CourierOptions.java
+++ b/src/main/java/railspar/scale/real/CourierOptions.java
@@ -1,7 +1,7 @@
-package driftchute.scale.real;
+package railspar.scale.real;
 
-import driftchute.scale.standin.DiscoveryServer;
-import driftchute.scale.standin.LoopbackPorts;
+import railspar.scale.standin.DiscoveryServer;
+import railspar.scale.standin.LoopbackPorts;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/driftchute/scale/real/DeployFile.java
+++ b/src/main/java/railspar/scale/real/DeployFile.java
@@ -1,4 +1,4 @@
-package driftchute.scale.real;
+package railspar.scale.real;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
--- a/src/main/java/driftchute/scale/real/ListOptions.java
+++ b/src/main/java/railspar/scale/real/ListOptions.java
@@ -1,6 +1,6 @@
-package driftchute.scale.real;
+package railspar.scale.real;
 
-import driftchute.scale.standin.FleetPlan;
+import railspar.scale.standin.FleetPlan;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
--- a/src/main/java/driftchute/scale/slope/DecisionFixture.java
+++ b/src/main/java/railspar/scale/slope/DecisionFixture.java
@@ -1,7 +1,7 @@
-package driftchute.scale.slope;
+package railspar.scale.slope;
 
-import driftchute.Control;
-import driftchute.Courier;
+import railspar.Control;
+import railspar.Courier;
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.Queue;
--- a/src/main/java/driftchute/scale/slope/DecisionSeries.java
+++ b/src/main/java/railspar/scale/slope/DecisionSeries.java
@@ -1,6 +1,6 @@
-package driftchute.scale.slope;
+package railspar.scale.slope;
 
-import driftchute.Courier;
+import railspar.Courier;
 import java.util.List;
 
 /** Processor time and heap of the decision module, against what it holds. */
--- a/src/main/java/driftchute/scale/slope/HeapUse.java
+++ b/src/main/java/railspar/scale/slope/HeapUse.java
@@ -1,4 +1,4 @@
-package driftchute.scale.slope;
+package railspar.scale.slope;
 
 import java.lang.ref.Reference;
 import java.util.function.Supplier;
--- a/src/main/java/driftchute/scale/slope/ListSeries.java
+++ b/src/main/java/railspar/scale/slope/ListSeries.java
@@ -1,4 +1,4 @@
-package driftchute.scale.slope;
+package railspar.scale.slope;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
--- a/src/main/java/driftchute/scale/slope/ListTable.java
+++ b/src/main/java/railspar/scale/slope/ListTable.java
@@ -1,10 +1,10 @@
-package driftchute.scale.slope;
+package railspar.scale.slope;
 
-import driftchute.Courier;
-import driftchute.list.EndpointTable;
-import driftchute.list.ListParser;
-import driftchute.list.StagedList;
-import driftchute.list.TableUpdate;
+import railspar.Courier;
+import railspar.list.EndpointTable;
+import railspar.list.ListParser;
+import railspar.list.StagedList;
+import railspar.list.TableUpdate;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.ArrayList;
--- a/src/main/java/driftchute/scale/slope/ProcessorTime.java
+++ b/src/main/java/railspar/scale/slope/ProcessorTime.java
@@ -1,4 +1,4 @@
-package driftchute.scale.slope;
+package railspar.scale.slope;
 
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
--- a/src/main/java/driftchute/scale/slope/SeriesResult.java
+++ b/src/main/java/railspar/scale/slope/SeriesResult.java
@@ -1,4 +1,4 @@
-package driftchute.scale.slope;
+package railspar.scale.slope;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/driftchute/scale/slope/SlopeCatalog.java
+++ b/src/main/java/railspar/scale/slope/SlopeCatalog.java
@@ -1,4 +1,4 @@
-package driftchute.scale.slope;
+package railspar.scale.slope;
 
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/driftchute/scale/slope/SlopeCommand.java
+++ b/src/main/java/railspar/scale/slope/SlopeCommand.java
@@ -1,4 +1,4 @@
-package driftchute.scale.slope;
+package railspar.scale.slope;
 
 import java.io.IOException;
 import java.io.PrintWriter;
--- a/src/main/java/driftchute/scale/slope/SlopeReport.java
+++ b/src/main/java/railspar/scale/slope/SlopeReport.java
@@ -1,4 +1,4 @@
-package driftchute.scale.slope;
+package railspar.scale.slope;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
--- a/src/main/java/driftchute/scale/slope/StoredListSample.java
+++ b/src/main/java/railspar/scale/slope/StoredListSample.java
@@ -1,7 +1,7 @@
-package driftchute.scale.slope;
+package railspar.scale.slope;
 
-import driftchute.list.ListStore;
-import driftchute.list.TableUpdate;
+import railspar.list.ListStore;
+import railspar.list.TableUpdate;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.DirectoryStream;
--- a/src/main/java/driftchute/scale/standin/CallFaults.java
+++ b/src/main/java/railspar/scale/standin/CallFaults.java
@@ -1,4 +1,4 @@
-package driftchute.scale.standin;
+package railspar.scale.standin;
 
 /**
  * Calls that a courier may not make.
--- a/src/main/java/driftchute/scale/standin/DiscoveryConnection.java
+++ b/src/main/java/railspar/scale/standin/DiscoveryConnection.java
@@ -1,4 +1,4 @@
-package driftchute.scale.standin;
+package railspar.scale.standin;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/driftchute/scale/standin/DiscoveryMode.java
+++ b/src/main/java/railspar/scale/standin/DiscoveryMode.java
@@ -1,4 +1,4 @@
-package driftchute.scale.standin;
+package railspar.scale.standin;
 
 /** How a stand-in of discovery behaves. */
 public enum DiscoveryMode {
--- a/src/main/java/driftchute/scale/standin/EndpointEntry.java
+++ b/src/main/java/railspar/scale/standin/EndpointEntry.java
@@ -1,4 +1,4 @@
-package driftchute.scale.standin;
+package railspar.scale.standin;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
--- a/src/main/java/driftchute/scale/standin/HandInAnswer.java
+++ b/src/main/java/railspar/scale/standin/HandInAnswer.java
@@ -1,4 +1,4 @@
-package driftchute.scale.standin;
+package railspar.scale.standin;
 
 /**
  * What a courier answered to a message.
--- a/src/main/java/driftchute/scale/standin/HttpConnection.java
+++ b/src/main/java/railspar/scale/standin/HttpConnection.java
@@ -1,4 +1,4 @@
-package driftchute.scale.standin;
+package railspar.scale.standin;
 
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
--- a/src/main/java/driftchute/scale/standin/LedgerReport.java
+++ b/src/main/java/railspar/scale/standin/LedgerReport.java
@@ -1,4 +1,4 @@
-package driftchute.scale.standin;
+package railspar.scale.standin;
 
 /**
  * What became of the messages that were handed in.
--- a/src/main/java/driftchute/scale/standin/LoopbackListener.java
+++ b/src/main/java/railspar/scale/standin/LoopbackListener.java
@@ -1,4 +1,4 @@
-package driftchute.scale.standin;
+package railspar.scale.standin;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
--- a/src/main/java/driftchute/scale/standin/LoopbackPorts.java
+++ b/src/main/java/railspar/scale/standin/LoopbackPorts.java
@@ -1,4 +1,4 @@
-package driftchute.scale.standin;
+package railspar.scale.standin;
 
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/main/java/driftchute/scale/standin/MessageShape.java
+++ b/src/main/java/railspar/scale/standin/MessageShape.java
@@ -1,4 +1,4 @@
-package driftchute.scale.standin;
+package railspar.scale.standin;
 
 /**
  * A kind of message that clients hand in.
--- a/src/main/java/driftchute/scale/standin/RegisteredMessage.java
+++ b/src/main/java/railspar/scale/standin/RegisteredMessage.java
@@ -1,4 +1,4 @@
-package driftchute.scale.standin;
+package railspar.scale.standin;
 
 /**
  * A message that a client hands in, as the destinations' stand-in must know it.
--- a/src/test/java/driftchute/ControlTest.java
+++ b/src/test/java/railspar/ControlTest.java
@@ -1,15 +1,15 @@
-package driftchute;
+package railspar;
 
-import static driftchute.Scene.DEST;
-import static driftchute.Scene.MS;
-import static driftchute.Scene.SECOND;
+import static railspar.Scene.DEST;
+import static railspar.Scene.MS;
+import static railspar.Scene.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import driftchute.Courier.Condition;
-import driftchute.Courier.Result;
-import driftchute.Courier.Update;
+import railspar.Courier.Condition;
+import railspar.Courier.Result;
+import railspar.Courier.Update;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/src/test/java/driftchute/DeliveryRulesTest.java
+++ b/src/test/java/railspar/DeliveryRulesTest.java
@@ -1,16 +1,16 @@
-package driftchute;
+package railspar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import driftchute.Courier.Effect;
-import driftchute.Courier.MessageClass;
-import driftchute.Courier.Past;
-import driftchute.Courier.Result;
-import driftchute.DeliveryRules.Attempt;
-import driftchute.DeliveryRules.Transmission;
-import driftchute.DeliveryRules.Violation;
+import railspar.Courier.Effect;
+import railspar.Courier.MessageClass;
+import railspar.Courier.Past;
+import railspar.Courier.Result;
+import railspar.DeliveryRules.Attempt;
+import railspar.DeliveryRules.Transmission;
+import railspar.DeliveryRules.Violation;
 import java.util.Map;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/driftchute/FleetRampTest.java
+++ b/src/test/java/railspar/FleetRampTest.java
@@ -1,4 +1,4 @@
-package driftchute;
+package railspar;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
--- a/src/test/java/driftchute/LimitsTest.java
+++ b/src/test/java/railspar/LimitsTest.java
@@ -1,4 +1,4 @@
-package driftchute;
+package railspar;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -16,7 +16,7 @@
 
     @Test
     void theModuleStaysShortAndItsLinesToo() throws IOException {
-        final List<String> lines = Files.readAllLines(Path.of("src/main/java/driftchute/Control.java"));
+        final List<String> lines = Files.readAllLines(Path.of("src/main/java/railspar/Control.java"));
         assertFalse(lines.isEmpty());
         final long filled = lines.stream().filter(line -> !line.isBlank()).count();
         assertTrue(filled <= MOST_LINES, "non-blank lines: " + filled);
--- a/src/test/java/driftchute/RunLineTest.java
+++ b/src/test/java/railspar/RunLineTest.java
@@ -1,4 +1,4 @@
-package driftchute;
+package railspar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -131,6 +131,6 @@
         final List<String> arguments = arguments(Map.of());
         assertTrue(arguments.contains("-XX:+ExitOnOutOfMemoryError"), "" + arguments);
         assertTrue(arguments.contains("-Xmn10m"), "the young generation does not grow with the heap: " + arguments);
-        assertEquals("driftchute.node.Main", arguments.get(arguments.size() - 1));
+        assertEquals("railspar.node.Main", arguments.get(arguments.size() - 1));
     }
 }
--- a/src/test/java/driftchute/Scene.java
+++ b/src/test/java/railspar/Scene.java
@@ -1,4 +1,4 @@
-package driftchute;
+package railspar;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/src/test/java/driftchute/bench/AdapterTest.java
+++ b/src/test/java/railspar/bench/AdapterTest.java
@@ -1,4 +1,4 @@
-package driftchute.bench;
+package railspar.bench;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/driftchute/list/EndpointTableTest.java
+++ b/src/test/java/railspar/list/EndpointTableTest.java
@@ -1,4 +1,4 @@
-package driftchute.list;
+package railspar.list;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import driftchute.Courier;
+import railspar.Courier;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/test/java/driftchute/list/ListParserTest.java
+++ b/src/test/java/railspar/list/ListParserTest.java
@@ -1,10 +1,10 @@
-package driftchute.list;
+package railspar.list;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import driftchute.list.ListFormatException.Fault;
+import railspar.list.ListFormatException.Fault;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
--- a/src/test/java/driftchute/list/ListStoreTest.java
+++ b/src/test/java/railspar/list/ListStoreTest.java
@@ -1,4 +1,4 @@
-package driftchute.list;
+package railspar.list;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/driftchute/node/DiscoveryTest.java
+++ b/src/test/java/railspar/node/DiscoveryTest.java
@@ -1,4 +1,4 @@
-package driftchute.node;
+package railspar.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import driftchute.Courier;
+import railspar.Courier;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/src/test/java/driftchute/node/FailedWriteTest.java
+++ b/src/test/java/railspar/node/FailedWriteTest.java
@@ -1,9 +1,9 @@
-package driftchute.node;
+package railspar.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import driftchute.node.FaultPage.Fault;
+import railspar.node.FaultPage.Fault;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
--- a/src/test/java/driftchute/node/FatalErrorTest.java
+++ b/src/test/java/railspar/node/FatalErrorTest.java
@@ -1,4 +1,4 @@
-package driftchute.node;
+package railspar.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -133,7 +133,7 @@
 
     @Test
     void aClassThatCannotBeReadForWantOfADescriptorEndsNothing() {
-        final NoClassDefFoundError unread = new NoClassDefFoundError("driftchute/Later");
+        final NoClassDefFoundError unread = new NoClassDefFoundError("railspar/Later");
         FatalError.endOn("a handler", unread);
         final Runnable task = FatalError.guarded(() -> {
             throw unread;
--- a/src/test/java/driftchute/node/JournalSlope.java
+++ b/src/test/java/railspar/node/JournalSlope.java
@@ -1,9 +1,9 @@
-package driftchute.node;
+package railspar.node;
 
-import driftchute.scale.slope.HeapUse;
-import driftchute.scale.slope.ProcessorTime;
-import driftchute.scale.slope.Series;
-import driftchute.scale.slope.SlopeCommand;
+import railspar.scale.slope.HeapUse;
+import railspar.scale.slope.ProcessorTime;
+import railspar.scale.slope.Series;
+import railspar.scale.slope.SlopeCommand;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.Files;
--- a/src/test/java/driftchute/node/JournalTest.java
+++ b/src/test/java/railspar/node/JournalTest.java
@@ -1,11 +1,11 @@
-package driftchute.node;
+package railspar.node;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import driftchute.Courier;
+import railspar.Courier;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/driftchute/node/NodeTest.java
+++ b/src/test/java/railspar/node/NodeTest.java
@@ -1,4 +1,4 @@
-package driftchute.node;
+package railspar.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/driftchute/node/Rig.java
+++ b/src/test/java/railspar/node/Rig.java
@@ -1,4 +1,4 @@
-package driftchute.node;
+package railspar.node;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -271,7 +271,7 @@
                 "-XX:TieredStopAtLevel=1",
                 "-cp",
                 System.getProperty("java.class.path"),
-                "driftchute.node.Main"));
+                "railspar.node.Main"));
         if (!before.isEmpty()) {
             command.addAll(0, List.of("/bin/sh", "-c", before + "; exec \"$0\" \"$@\""));
         }
--- a/src/test/java/driftchute/node/SettingsApartTest.java
+++ b/src/test/java/railspar/node/SettingsApartTest.java
@@ -1,4 +1,4 @@
-package driftchute.node;
+package railspar.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,8 +9,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import driftchute.Control;
-import driftchute.Courier;
+import railspar.Control;
+import railspar.Courier;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/src/test/java/driftchute/node/SoakPlay.java
+++ b/src/test/java/railspar/node/SoakPlay.java
@@ -1,6 +1,6 @@
-package driftchute.node;
+package railspar.node;
 
-import driftchute.node.FaultPage.Fault;
+import railspar.node.FaultPage.Fault;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.file.Path;
--- a/src/test/java/driftchute/node/WatchTest.java
+++ b/src/test/java/railspar/node/WatchTest.java
@@ -1,11 +1,11 @@
-package driftchute.node;
+package railspar.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import driftchute.list.ListFormatException;
-import driftchute.list.StagedList;
+import railspar.list.ListFormatException;
+import railspar.list.StagedList;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
 import io.netty.handler.codec.http.DefaultHttpContent;
--- a/src/test/java/driftchute/scale/BoundedWait.java
+++ b/src/test/java/railspar/scale/BoundedWait.java
@@ -1,4 +1,4 @@
-package driftchute.scale;
+package railspar.scale;
 
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
--- a/src/test/java/driftchute/scale/RunIndependenceTest.java
+++ b/src/test/java/railspar/scale/RunIndependenceTest.java
@@ -1,4 +1,4 @@
-package driftchute.scale;
+package railspar.scale;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,9 +14,9 @@
 /** What the courier loads never refers to the scale runs or to their libraries. */
 final class RunIndependenceTest {
     private static final Path CLASSES = Path.of("target", "classes");
-    private static final Path SCALE = CLASSES.resolve(Path.of("driftchute", "scale"));
+    private static final Path SCALE = CLASSES.resolve(Path.of("railspar", "scale"));
     /** Names as they stand in a class file's constant pool. */
-    private static final List<String> FORBIDDEN = List.of("driftchute/scale/", "picocli/", "org/HdrHistogram/");
+    private static final List<String> FORBIDDEN = List.of("railspar/scale/", "picocli/", "org/HdrHistogram/");
 
     private static boolean refersTo(final Path classFile, final String name) throws IOException {
         return new String(Files.readAllBytes(classFile), StandardCharsets.ISO_8859_1).contains(name);
@@ -46,6 +46,6 @@
     @Test
     void theWalkSeesAReferenceWhereThereIsOne() throws IOException {
         assertTrue(refersTo(
-                SCALE.resolve(Path.of("standin", "FleetPlan.class")), "driftchute/scale/standin/EndpointEntry"));
+                SCALE.resolve(Path.of("standin", "FleetPlan.class")), "railspar/scale/standin/EndpointEntry"));
     }
 }
--- a/src/test/java/driftchute/scale/ScaleCommandTest.java
+++ b/src/test/java/railspar/scale/ScaleCommandTest.java
@@ -1,4 +1,4 @@
-package driftchute.scale;
+package railspar.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/driftchute/scale/fleet/ControlUplinkTest.java
+++ b/src/test/java/railspar/scale/fleet/ControlUplinkTest.java
@@ -1,4 +1,4 @@
-package driftchute.scale.fleet;
+package railspar.scale.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/driftchute/scale/fleet/FleetRunTest.java
+++ b/src/test/java/railspar/scale/fleet/FleetRunTest.java
@@ -1,12 +1,12 @@
-package driftchute.scale.fleet;
+package railspar.scale.fleet;
 
-import static driftchute.scale.fleet.Disturbances.NONE;
+import static railspar.scale.fleet.Disturbances.NONE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import driftchute.scale.fleet.Disturbances.CutMode;
-import driftchute.scale.standin.FleetPlan;
+import railspar.scale.fleet.Disturbances.CutMode;
+import railspar.scale.standin.FleetPlan;
 import java.nio.file.Path;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/driftchute/scale/real/RealCourierTest.java
+++ b/src/test/java/railspar/scale/real/RealCourierTest.java
@@ -1,22 +1,22 @@
-package driftchute.scale.real;
+package railspar.scale.real;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import driftchute.scale.BoundedWait;
-import driftchute.scale.standin.ClientLoad;
-import driftchute.scale.standin.ClientLoadSettings;
-import driftchute.scale.standin.DestinationServer;
-import driftchute.scale.standin.DestinationSettings;
-import driftchute.scale.standin.DiscoveryServer;
-import driftchute.scale.standin.EndpointEntry;
-import driftchute.scale.standin.FleetPlan;
-import driftchute.scale.standin.LedgerReport;
-import driftchute.scale.standin.ListHistory;
-import driftchute.scale.standin.LoopbackPorts;
-import driftchute.scale.standin.MessageLedger;
-import driftchute.scale.standin.MessageShape;
+import railspar.scale.BoundedWait;
+import railspar.scale.standin.ClientLoad;
+import railspar.scale.standin.ClientLoadSettings;
+import railspar.scale.standin.DestinationServer;
+import railspar.scale.standin.DestinationSettings;
+import railspar.scale.standin.DiscoveryServer;
+import railspar.scale.standin.EndpointEntry;
+import railspar.scale.standin.FleetPlan;
+import railspar.scale.standin.LedgerReport;
+import railspar.scale.standin.ListHistory;
+import railspar.scale.standin.LoopbackPorts;
+import railspar.scale.standin.MessageLedger;
+import railspar.scale.standin.MessageShape;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -40,7 +40,7 @@
     private static String command() {
         return "exec \"" + System.getProperty("java.home") + "/bin/java\" -Xmx64m -XX:+UseSerialGC"
                 + " -XX:TieredStopAtLevel=1 -cp \"" + System.getProperty("java.class.path")
-                + "\" driftchute.node.Main";
+                + "\" railspar.node.Main";
     }
 
     @Test
--- a/src/test/java/driftchute/scale/slope/DecisionFixtureTest.java
+++ b/src/test/java/railspar/scale/slope/DecisionFixtureTest.java
@@ -1,9 +1,9 @@
-package driftchute.scale.slope;
+package railspar.scale.slope;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import driftchute.Courier;
+import railspar.Courier;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/driftchute/scale/slope/SeriesResultTest.java
+++ b/src/test/java/railspar/scale/slope/SeriesResultTest.java
@@ -1,4 +1,4 @@
-package driftchute.scale.slope;
+package railspar.scale.slope;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/driftchute/scale/standin/DestinationServerTest.java
+++ b/src/test/java/railspar/scale/standin/DestinationServerTest.java
@@ -1,10 +1,10 @@
-package driftchute.scale.standin;
+package railspar.scale.standin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import driftchute.scale.BoundedWait;
+import railspar.scale.BoundedWait;
 import java.io.IOException;
 import java.time.Duration;
 import java.util.List;
--- a/src/test/java/driftchute/scale/standin/DiscoveryServerTest.java
+++ b/src/test/java/railspar/scale/standin/DiscoveryServerTest.java
@@ -1,4 +1,4 @@
-package driftchute.scale.standin;
+package railspar.scale.standin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -9,7 +9,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import driftchute.scale.BoundedWait;
+import railspar.scale.BoundedWait;
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.InetSocketAddress;
--- a/src/test/java/driftchute/scale/standin/MessageLedgerTest.java
+++ b/src/test/java/railspar/scale/standin/MessageLedgerTest.java
@@ -1,4 +1,4 @@
-package driftchute.scale.standin;
+package railspar.scale.standin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
