--- a/src/main/java/railspar/Control.java
+++ b/src/main/java/railspar/Control.java
@@ -170,7 +170,7 @@
 
     private final Settings settings;
     private final Limits limits;
-    private final Guarantees guarantees;
+    private final RuleParameters guarantees;
     private final Actions actions;
     private final Random random;
     private final DestinationTable destinations;
@@ -207,14 +207,14 @@
         this.destinations = new DestinationTable(
                 settings, directory, mostResting, this::newLane, this::step, this::rest, this::isSettled);
         this.limits = settings.limits();
-        this.guarantees = settings.guarantees();
+        this.guarantees = settings.ruleParameters();
         this.actions = actions;
         this.random = new Random(seed);
         this.classMeanUs = settings.classes().stream()
-                .mapToDouble(k -> UNSEEN_SHARE * k.aimUs())
+                .mapToDouble(k -> UNSEEN_SHARE * k.targetUs())
                 .toArray();
         this.classSamples = new int[classMeanUs.length];
-        this.trustUs = limits.idleCloseUs();
+        this.trustUs = limits.idleTimeoutUs();
         this.quotaUs = new long[settings.tenants().size()];
     }
 
@@ -231,14 +231,14 @@
         job.destination.enqueue(job);
         job.destination.jobs++;
         busy.put(message.destination(), job.destination);
-        if (job.kind.inTurn() && message.key() != null) {
+        if (job.kind.ordered() && message.key() != null) {
             job.line = keys.computeIfAbsent(message.key(), key -> new KeyLine());
             job.line.ids.add(message.id());
         }
     }
 
     @Override
-    public void onNoticeOwed(final long now, final String messageId, final String key) {
+    public void onNoticePending(final long now, final String messageId, final String key) {
         nowUs = now;
         final KeyLine line = keys.computeIfAbsent(key, unused -> new KeyLine());
         line.owed.add(messageId);
@@ -257,22 +257,22 @@
     }
 
     @Override
-    public void onResumed(final long now, final Message message, final Past past) {
+    public void onMessageResumed(final long now, final Message message, final AttemptHistory past) {
         onMessage(now, message);
         final Job job = jobs.get(message.id());
         job.attempts = past.attempts();
-        job.mayHaveRun = past.mayHaveRun();
+        job.mayHaveRun = past.mayHaveTakenEffect();
         if (job.mayHaveRun) {
-            job.firstRunUs = past.firstRunUs();
-            job.runZone = past.runZone();
+            job.firstRunUs = past.firstEffectUs();
+            job.runZone = past.effectZone();
             if (job.line != null) {
-                job.line.restUntilUs = nowUs + guarantees.orderSettleUs();
+                job.line.restUntilUs = nowUs + guarantees.orderingDelayUs();
             }
         }
         final Node node =
-                past.out() == null ? null : destinations.node(past.out().endpoint());
+                past.inheritedCall() == null ? null : destinations.node(past.inheritedCall().endpoint());
         if (node != null) {
-            goesOn(job, node, past.out().sentUs());
+            goesOn(job, node, past.inheritedCall().sentUs());
         }
     }
 
@@ -295,7 +295,7 @@
     }
 
     @Override
-    public void onCutOff(final long now, final String messageId) {
+    public void onAttemptInterrupted(final long now, final String messageId) {
         nowUs = now;
         final Job job = jobs.get(messageId);
         if (job != null && job.call != null) {
@@ -305,7 +305,7 @@
     }
 
     @Override
-    public Standing standing(final long now, final long endpoint) {
+    public EndpointSnapshot snapshot(final long now, final long endpoint) {
         final Map<String, Double> figures = new TreeMap<>();
         final Map<String, Long> times = new TreeMap<>();
         final Node node = destinations.nodeWithState(endpoint);
@@ -320,25 +320,25 @@
             }
             times.values().removeIf(us -> us == 0);
         }
-        return new Standing(figures, times);
+        return new EndpointSnapshot(figures, times);
     }
 
     @Override
-    public void onStanding(final long now, final long endpoint, final Standing standing) {
+    public void onEndpointSnapshot(final long now, final long endpoint, final EndpointSnapshot standing) {
         nowUs = now;
-        final Node node = standing.figures().isEmpty() ? null : destinations.node(endpoint);
+        final Node node = standing.values().isEmpty() ? null : destinations.node(endpoint);
         if (node == null) {
             return;
         }
         final Map<String, Long> times = standing.timesUs();
         final Lane lane = node.lane;
-        lane.readFrom(standing.figures(), times);
+        lane.readFrom(standing.values(), times);
         for (int kind = 0; kind < classMeanUs.length; kind++) {
-            classMeanUs[kind] = standing.figures().getOrDefault("mean." + kind, classMeanUs[kind]);
+            classMeanUs[kind] = standing.values().getOrDefault("mean." + kind, classMeanUs[kind]);
             classSamples[kind] =
-                    standing.figures().getOrDefault("samples." + kind, 0.0).intValue();
+                    standing.values().getOrDefault("samples." + kind, 0.0).intValue();
             node.badRun[kind] =
-                    standing.figures().getOrDefault("bad." + kind, 0.0).intValue();
+                    standing.values().getOrDefault("bad." + kind, 0.0).intValue();
             node.avoidUntilUs[kind] = times.getOrDefault("avoid." + kind, 0L);
         }
     }
@@ -358,11 +358,11 @@
         }
         final Call call = settle(job, outcome.result());
         judge(call.node, call, job, outcome);
-        goOn(job, outcome.over());
+        goOn(job, outcome.isFinal());
     }
 
     @Override
-    public void onWait(final long now, final long endpoint, final long waitUs) {
+    public void onRetryAfter(final long now, final long endpoint, final long waitUs) {
         nowUs = now;
         Optional.ofNullable(destinations.node(endpoint)).ifPresent(node -> wait(node.lane, waitUs));
     }
@@ -385,12 +385,12 @@
         final Call call = job.call;
         final Node node = call.node;
         job.call = null;
-        if (!result.neverRan()) {
+        if (!result.hadNoEffect()) {
             job.mayHaveRun = true;
             job.firstRunUs = Math.min(job.firstRunUs, call.sentUs);
             job.runZone = node.entry.zone();
-            if (job.line != null && !result.ended()) {
-                job.line.restUntilUs = nowUs + guarantees.orderSettleUs();
+            if (job.line != null && !result.isAnswered()) {
+                job.line.restUntilUs = nowUs + guarantees.orderingDelayUs();
             }
         }
         if (--call.messages == 0) {
@@ -415,7 +415,7 @@
         nextStepUs = nextStepUs == 0 ? nowUs + SECOND_US : nextStepUs;
         if (nowUs >= nextStepUs) {
             destinations.step();
-            trustUs = Math.min(limits.idleCloseUs(), TRUST_GROWTH * trustUs);
+            trustUs = Math.min(limits.idleTimeoutUs(), TRUST_GROWTH * trustUs);
             keys.values().removeIf(line -> line.ids.isEmpty() && line.restUntilUs <= nowUs);
             nextStepUs += SECOND_US * ((nowUs - nextStepUs) / SECOND_US + 1);
         }
@@ -429,7 +429,7 @@
 
     @Override
     public String describe(final long id) {
-        final StringBuilder text = new StringBuilder("slots ").append(callsOut + "/" + limits.slots());
+        final StringBuilder text = new StringBuilder("slots ").append(callsOut + "/" + limits.maxCallsInFlight());
         final Destination destination = destinations.get(id);
         if (destination != null) {
             text.append(", waiting ").append(destination.waiting.size());
@@ -440,7 +440,7 @@
     }
 
     @Override
-    public int avoided(final long now) {
+    public int avoidedEndpoints(final long now) {
         int count = 0;
         for (final Lane lane : List.copyOf(troubled)) {
             final long avoided = lane.nodes.stream()
@@ -470,7 +470,7 @@
     /** Sends, best first, until no slot is free or no message may go; a send changes its destination only. */
     private void dispatch() {
         final Map<Destination, Job> candidates = new LinkedHashMap<>();
-        while (callsOut < limits.slots()) {
+        while (callsOut < limits.maxCallsInFlight()) {
             if (candidates.isEmpty()) {
                 busy.values().forEach(destination -> candidates.put(destination, best(destination, true)));
             }
@@ -503,7 +503,7 @@
         if (lane.calls.size() >= cap(lane)) {
             return NEVER;
         }
-        final boolean exact = (settings.weights() == Weights.NOMINAL || lane.reported) && lane.told > 0;
+        final boolean exact = (settings.weightMeaning() == WeightMeaning.NOMINAL || lane.reported) && lane.told > 0;
         final double rate = exact ? Math.min(part(lane), lane.spacing) : lane.spacing;
         final double rampShare = tippingShare(nowUs - lane.rampFromUs);
         final long guardUs =
@@ -520,15 +520,15 @@
      * refused calls use up as well recovers; and more, the more of it was left or may be again by now.
      */
     private double part(final Lane lane) {
-        final double refilled = REFILL / settings.couriers() * (nowUs - lane.leftAtUs) / SECOND_US;
+        final double refilled = REFILL / settings.courierCount() * (nowUs - lane.leftAtUs) / SECOND_US;
         final double more = PART_GROWTH * Math.pow(Math.min(1, lane.left + refilled), PART_POWER);
-        return lane.told * Math.min(1, (PART_LEAST + more) / settings.couriers());
+        return lane.told * Math.min(1, (PART_LEAST + more) / settings.courierCount());
     }
 
     /** Calls that a lane may have in flight now: its window, within its share of the slots. */
     private int cap(final Lane lane) {
         final double share = lane.phase == Phase.WELL && !lane.slow ? HEALTHY_SHARE : SICK_SHARE;
-        return (int) Math.max(1, Math.floor(Math.min(lane.window, share * limits.slots())));
+        return (int) Math.max(1, Math.floor(Math.min(lane.window, share * limits.maxCallsInFlight())));
     }
 
     /** The most urgent message for a lane (a node, if given); trials risk first what is lost anyway. */
@@ -554,7 +554,7 @@
                 bestUrgency = urgency;
                 job.lane = lane;
                 // With the store over half full some will not be served: slots go where they serve most.
-                job.urgency = urgency / (2 * open > limits.maxOpen() ? expectedUs(lane, job) : 1);
+                job.urgency = urgency / (2 * open > limits.maxOpenMessages() ? expectedUs(lane, job) : 1);
             }
         }
         return best;
@@ -574,14 +574,14 @@
         if (atUs >= job.keyEndUs()) {
             return 0;
         }
-        final double full = kind.worth() * (job.overQuota ? OVER_QUOTA : 1);
+        final double full = kind.value() * (job.overQuota ? OVER_QUOTA : 1);
         final long lateUs = Math.max(0, atUs - job.aimUs);
-        if (settings.fade() == Fade.HALVING) {
-            final double halvings = (double) lateUs / Math.max(1, kind.aimUs());
-            return full * Math.max(kind.lateWorth(), Math.pow(0.5, halvings));
+        if (settings.valueDecay() == ValueDecay.HALVING) {
+            final double halvings = (double) lateUs / Math.max(1, kind.targetUs());
+            return full * Math.max(kind.lateValue(), Math.pow(0.5, halvings));
         }
-        final long fadeUs = Math.max(1, kind.deadlineUs() - kind.aimUs());
-        return full * (1 - (1 - kind.lateWorth()) * lateUs / fadeUs);
+        final long fadeUs = Math.max(1, kind.deadlineUs() - kind.targetUs());
+        return full * (1 - (1 - kind.lateValue()) * lateUs / fadeUs);
     }
 
     /** The best endpoint of a lane for a message now, or null. */
@@ -597,8 +597,8 @@
                     || lane.phase == Phase.WELL && nowUs < node.avoidUntilUs[kind]) {
                 continue;
             }
-            final boolean handshake = node.inFlight >= node.connections * limits.multiplex()
-                    || node.inFlight == 0 && nowUs - node.lastUseUs >= limits.idleCloseUs();
+            final boolean handshake = node.inFlight >= node.connections * limits.streamsPerConnection()
+                    || node.inFlight == 0 && nowUs - node.lastUseUs >= limits.idleTimeoutUs();
             final boolean cross = !node.entry.zone().equals(settings.zone());
             final double near = node.inFlight + node.badRun[kind] + (handshake ? HANDSHAKE_LOAD : 0);
             final double load = lane.phase == Phase.OUT ? node.lastSendUs : near + (cross ? CROSS_LOAD : 0);
@@ -613,7 +613,7 @@
     /** Until when an endpoint that was put back gets nothing more: it is cold, and may not be tipped. */
     private long coldUntilUs(final Node node) {
         final long sinceUs = nowUs - node.backUs;
-        if (node.backUs == 0 || sinceUs > guarantees.coldUs()) {
+        if (node.backUs == 0 || sinceUs > guarantees.warmupUs()) {
             return 0;
         }
         final double apartUs = apartUs(node.lane) * node.lane.nodes.size();
@@ -622,7 +622,7 @@
 
     /** False where an earlier attempt may have run and this endpoint would not know the repeat. */
     private static boolean zoneAllows(final Job job, final Node node) {
-        return !job.mayHaveRun || !job.kind.zoneKeyed() || node.entry.zone().equals(job.runZone);
+        return !job.mayHaveRun || !job.kind.deduplicatedPerZone() || node.entry.zone().equals(job.runZone);
     }
 
     /** Rule on order: the first of its key goes, and only after the rest that an open attempt asks for. */
@@ -650,7 +650,7 @@
         if (node.inFlight++ == 0) {
             checkIdle(call, node, first);
         }
-        final int streams = limits.multiplex();
+        final int streams = limits.streamsPerConnection();
         node.connections = Math.max(node.connections, (node.inFlight + streams - 1) / streams);
         node.lastSendUs = lane.lastSendUs = nowUs;
         if (lane.phase == Phase.OUT) {
@@ -677,7 +677,7 @@
         final long idleUs = nowUs - node.lastUseUs;
         if (node.connections > 0 && idleUs >= trustUs / (job.kind.effect() == Effect.UNSAFE ? 2 : 1)) {
             node.connections = 0;
-            actions.closeIdle(node.entry.id());
+            actions.closeIdleConnections(node.entry.id());
         } else if (node.connections > 0) {
             call.idleUs = idleUs;
         }
@@ -690,10 +690,10 @@
      */
     private void shareConnections(final Node node, final Call call) {
         final double reachUs = nowUs < node.fullUntilUs ? REUSE_CALLS * call.expectedUs : REUSE_US;
-        final boolean many = settings.couriers() > FEW_COURIERS;
+        final boolean many = settings.courierCount() > FEW_COURIERS;
         if (many && node.lane.rate * reachUs / SECOND_US < node.lane.nodes.size()) {
             node.connections = 0;
-            actions.closeIdle(node.entry.id());
+            actions.closeIdleConnections(node.entry.id());
         }
     }
 
@@ -701,7 +701,7 @@
 
     /** True for a lane without trouble, wait, guard or operator's mark: it may begin anew. */
     private boolean isSettled(final Lane lane) {
-        final boolean warm = lane.phase == Phase.RAMP && nowUs - lane.rampFromUs > guarantees.coldUs();
+        final boolean warm = lane.phase == Phase.RAMP && nowUs - lane.rampFromUs > guarantees.warmupUs();
         return (warm || lane.phase == Phase.WELL)
                 && lane.troubleFromUs == NEVER
                 && Math.max(lane.waitUntilUs, lane.pauseUntilUs) <= nowUs
@@ -725,18 +725,18 @@
             }
             double refusal = (double) bad / read;
             if (lane.allowance != null && lane.allowance.callsPerSecond() > 0) {
-                refusal = Math.max(refusal, 1 - lane.allowance.shareLeft());
+                refusal = Math.max(refusal, 1 - lane.allowance.remainingShare());
             }
             final double change = Math.max(bad == 0 ? 0 : -1, tableOne(latency, clamp(refusal, 0, 1)));
             if (change < 0 || lane.peak >= USED_SHARE * Math.floor(lane.window)) {
                 lane.window = clamp(
                         lane.window * (1 + change),
                         WINDOW_FLOOR,
-                        Math.max(1, Math.floor(HEALTHY_SHARE * limits.slots())));
+                        Math.max(1, Math.floor(HEALTHY_SHARE * limits.maxCallsInFlight())));
             }
             lane.slow = latency > SLOW_INPUT || refusal > SLOW_INPUT;
         }
-        final double least = SPACING_LEAST * Math.min(1, SPACING_COURIERS / settings.couriers());
+        final double least = SPACING_LEAST * Math.min(1, SPACING_COURIERS / settings.courierCount());
         final double refusing = least + SPACING * Math.max(lane.served, lane.rate);
         lane.spacing = lane.refused > 0 ? refusing : spacingGrowth(lane) * lane.spacing;
         lane.peak = lane.calls.size();
@@ -746,7 +746,7 @@
 
     /** How much sooner each step without refusals lets the next call go. */
     private double spacingGrowth(final Lane lane) {
-        final boolean room = settings.couriers() > FEW_COURIERS && lane.reported && lane.left > LEFT_HIGH;
+        final boolean room = settings.courierCount() > FEW_COURIERS && lane.reported && lane.left > LEFT_HIGH;
         return room ? SPACING_GONE : SPACING;
     }
 
@@ -793,11 +793,11 @@
     /** Reads one outcome: service times, the step's inputs, waits, health of the endpoint and the lane. */
     private void judge(final Node node, final Call call, final Job job, final Outcome outcome) {
         final Lane lane = node.lane;
-        if (outcome.allowance() != null && plausible(lane, outcome.allowance().callsPerSecond())) {
-            lane.allowance = outcome.allowance();
+        if (outcome.reportedLimit() != null && plausible(lane, outcome.reportedLimit().callsPerSecond())) {
+            lane.allowance = outcome.reportedLimit();
             lane.told = lane.allowance.callsPerSecond();
             lane.leftAtUs = nowUs;
-            lane.left = clamp(lane.allowance.shareLeft(), 0, 1);
+            lane.left = clamp(lane.allowance.remainingShare(), 0, 1);
             lane.reported = true;
         }
         final int kind = job.message.messageClass();
@@ -806,7 +806,7 @@
         final boolean first = lane.troubleFromUs == NEVER;
         lane.troubleFromUs = Math.min(lane.troubleFromUs, nowUs);
         // A wait may stand in any answer, also one that delivers some of a call's messages.
-        wait(lane, outcome.waitUs());
+        wait(lane, outcome.retryAfterUs());
         switch (outcome.result()) {
             case DELIVERED -> succeed(node, job, outcome.durationUs());
             case REFUSED -> {
@@ -817,9 +817,9 @@
                 }
                 final long fromUs = Math.max(nowUs, lane.waitUntilUs);
                 final long gapUs = patienceUs(lane, fromUs);
-                final boolean told = outcome.waitUs() > 0;
+                final boolean told = outcome.retryAfterUs() > 0;
                 lane.pauseUntilUs = fromUs + (told ? (long) (random.nextDouble() * gapUs) : jitter(gapUs));
-                suspect(lane, outcome.waitUs() > LIMIT_WAIT_US ? OUT_WEIGHT : REFUSED_WEIGHT);
+                suspect(lane, outcome.retryAfterUs() > LIMIT_WAIT_US ? OUT_WEIGHT : REFUSED_WEIGHT);
             }
             case ERROR -> {
                 lane.errors++;
@@ -838,11 +838,11 @@
                     lane.stretch = STRETCH;
                 }
                 if (first && call.idleUs > 0 && !call.calledOff && outcome.result() != Result.NO_CONNECTION) {
-                    final double leastUs = TRUST_LEAST * limits.idleCloseUs();
+                    final double leastUs = TRUST_LEAST * limits.idleTimeoutUs();
                     trustUs = Math.min(trustUs, Math.max(leastUs, call.idleUs / 2.0));
                 }
                 if (first && outcome.result() == Result.NO_CONNECTION) {
-                    node.fullUntilUs = nowUs + limits.idleCloseUs();
+                    node.fullUntilUs = nowUs + limits.idleTimeoutUs();
                 }
                 node.badRun[kind]++;
                 if (node.lastServedUs < call.sentUs) {
@@ -853,7 +853,7 @@
                 node.connections = Math.max(0, node.connections - 1);
                 if (outcome.result() != Result.NO_CONNECTION || node.lastServedUs <= call.sentUs) {
                     lane.failShare += FAIL_WEIGHT * (1 - lane.failShare);
-                    suspect(lane, settings.couriers() > FEW_COURIERS ? FLEET_FAILURE_WEIGHT : 1);
+                    suspect(lane, settings.courierCount() > FEW_COURIERS ? FLEET_FAILURE_WEIGHT : 1);
                 }
             }
             case NOT_SENT -> lane.troubleFromUs = first ? NEVER : lane.troubleFromUs;
@@ -918,7 +918,7 @@
      * overdue is called off. Covers hung, stalled and very slow ones; hurts where one would have answered.
      */
     private void reclaimSlot() {
-        if (callsOut < limits.slots() || !limits.mayCancel()) {
+        if (callsOut < limits.maxCallsInFlight() || !limits.canCancel()) {
             return;
         }
         final Call worst = busy.values().stream()
@@ -947,7 +947,7 @@
     /** How far apart this courier's messages for a lane are, or calls at its even part of the limit. */
     private double apartUs(final Lane lane) {
         final double limit = lane.told > 0 ? lane.told : UNTOLD_LIMIT;
-        return SECOND_US / Math.max(lane.rate, limit / settings.couriers());
+        return SECOND_US / Math.max(lane.rate, limit / settings.courierCount());
     }
 
     /**
@@ -963,9 +963,9 @@
 
     /** What tips a destination so far on its way to being warm, as a share of its whole capacity. */
     private double tippingShare(final long warmingUs) {
-        final double coldFrom = guarantees.coldFrom();
-        final double warm = (double) warmingUs / Math.max(1, guarantees.coldUs());
-        return guarantees.tipMultiple() * (coldFrom + (1 - coldFrom) * clamp(warm, 0, 1));
+        final double coldFrom = guarantees.coldCapacityShare();
+        final double warm = (double) warmingUs / Math.max(1, guarantees.warmupUs());
+        return guarantees.overloadMultiple() * (coldFrom + (1 - coldFrom) * clamp(warm, 0, 1));
     }
 
     private void learn(final Lane lane, final Job job, final long durationUs) {
@@ -994,7 +994,7 @@
     /** How long an attempt may take. */
     private long timeoutUs(final Lane lane, final Job job) {
         final double expectedUs = expectedUs(lane, job);
-        final long leftUs = job.message.endUs() - nowUs;
+        final long leftUs = job.message.latestEndUs() - nowUs;
         final double leastUs = Math.min(TIMEOUT_LEAST_US, TIMEOUT_SHARE * job.kind.deadlineUs());
         double timeoutUs = Math.max(leastUs, TIMEOUT_TIMES * lane.stretch * expectedUs);
         if (job.kind.effect() == Effect.UNSAFE) {
@@ -1002,7 +1002,7 @@
         }
         if (job.kind.effect() == Effect.KEYED && !job.mayHaveRun) {
             // Leaves room for a repeat inside the window; where there is none for both, one call has it.
-            final double windowUs = (1 - KEY_MARGIN) * job.kind.keyWindowUs();
+            final double windowUs = (1 - KEY_MARGIN) * job.kind.dedupWindowUs();
             final double againUs = windowUs - Math.min(AGAIN_US, windowUs / 2);
             timeoutUs = againUs < STOP_TIMES * expectedUs ? timeoutUs : Math.min(timeoutUs, againUs);
         }
@@ -1014,7 +1014,7 @@
         for (final Destination destination : List.copyOf(busy.values())) {
             for (final Lane lane : destination.lanes) {
                 suspect(lane, 0);
-                if (lane.phase == Phase.RAMP && nowUs - lane.rampFromUs > guarantees.coldUs()) {
+                if (lane.phase == Phase.RAMP && nowUs - lane.rampFromUs > guarantees.warmupUs()) {
                     lane.phase = Phase.WELL;
                 }
             }
@@ -1047,14 +1047,14 @@
 
     /** When a message that waits is ended: its time or its key's window is up. */
     private long endUs(final Job job) {
-        return Math.min(job.message.endUs() - END_MARGIN_US, job.keyEndUs());
+        return Math.min(job.message.latestEndUs() - END_MARGIN_US, job.keyEndUs());
     }
 
     /** Rule on effects, and the most attempts. */
     private boolean maySend(final Job job) {
         final Effect effect = job.kind.effect();
         return DeliveryRules.mayRepeat(effect, job.mayHaveRun, nowUs < job.keyEndUs())
-                && job.attempts < limits.mostAttempts();
+                && job.attempts < limits.maxAttempts();
     }
 
     private static boolean mayRefuse(final Job job) {
@@ -1088,8 +1088,8 @@
 
     /** Refuses what has least to gain before the store is full: nothing is turned away at the door. */
     private void makeRoom() {
-        final int reserve = (int) Math.max(1, STORE_RESERVE * limits.maxOpen());
-        while (open > limits.maxOpen() - reserve) {
+        final int reserve = (int) Math.max(1, STORE_RESERVE * limits.maxOpenMessages());
+        while (open > limits.maxOpenMessages() - reserve) {
             final Job least = busy.values().stream()
                     .flatMap(destination -> destination.waiting.stream())
                     .filter(Control::mayRefuse)
@@ -1110,7 +1110,7 @@
     /** Meters a tenant at this courier's even part of its quota; true for a message beyond it. */
     private boolean overQuota(final int tenant) {
         final double whole = tenant < 0 ? 0 : settings.tenants().get(tenant).quotaPerSecond();
-        final double quota = whole / settings.couriers();
+        final double quota = whole / settings.courierCount();
         if (quota <= 0 || quotaUs[tenant] > nowUs + QUOTA_BURST * SECOND_US / quota) {
             return quota > 0;
         }
@@ -1135,16 +1135,16 @@
         wakes.headSet(nowUs + 1).clear();
         if (wakes.isEmpty() || wakes.first() > next) {
             wakes.add(Math.max(nowUs + 1, next));
-            actions.wake(wakes.first() - nowUs);
+            actions.wakeAfter(wakes.first() - nowUs);
         }
     }
 
     // ---------------------------------------------------------------- membership
 
     @Override
-    public void onList(final long now, final Update update, final List<Endpoint> entries) {
+    public void onListUpdate(final long now, final ListUpdate update, final List<Endpoint> entries) {
         nowUs = now;
-        if (update == Update.LOST) {
+        if (update == ListUpdate.UNAVAILABLE) {
             subscribed = false;
             askAgainUs = nowUs + jitter(askBackOffUs);
             askBackOffUs = Math.min(2 * askBackOffUs, ASK_MOST_US);
@@ -1156,7 +1156,7 @@
     }
 
     @Override
-    public void onHand(final long now, final long endpoint, final boolean out, final long backUs) {
+    public void onOperatorOverride(final long now, final long endpoint, final boolean out, final long backUs) {
         nowUs = now;
         final Node node = destinations.node(endpoint);
         if (node == null) {
@@ -1166,22 +1166,22 @@
         if (out && !node.out) {
             // They restart it: what is open there now will not be when it is back.
             node.connections = 0;
-            actions.closeIdle(endpoint);
+            actions.closeIdleConnections(endpoint);
         }
         node.out = out;
         node.backUs = out ? 0 : backUs;
     }
 
-    private Lane newLane(final Kind kind) {
-        return new Lane(kind, settings.couriers() <= FEW_COURIERS ? WINDOW_START : WINDOW_RARE);
+    private Lane newLane(final DestinationKind kind) {
+        return new Lane(kind, settings.courierCount() <= FEW_COURIERS ? WINDOW_START : WINDOW_RARE);
     }
 
     /** Where the list must be asked for: once at the start, and again after a loss. */
     private void keepList() {
         if (settings.listOnRequest() && (askAgainUs == NEVER ? !subscribed : nowUs >= askAgainUs)) {
             subscribed = true;
-            askAgainUs = nowUs + Math.min(ASK_MOST_US, guarantees.mustAskUs() / 2);
-            actions.follow();
+            askAgainUs = nowUs + Math.min(ASK_MOST_US, guarantees.listRequestDeadlineUs() / 2);
+            actions.subscribeToList();
         }
     }
 
@@ -1219,14 +1219,14 @@
 
     /** The unit of the window: a destination, or a route of it. */
     static final class Lane extends LaneState {
-        final Kind kind;
+        final DestinationKind kind;
         final List<Node> nodes = new ArrayList<>();
         private final List<Call> calls = new ArrayList<>();
         /** This step's counts and sum of latency ratios. */
         private int peak, refused, served, bad, errors;
 
         private double ratioSum;
-        private Allowance allowance;
+        private ReportedLimit allowance;
         /** The list's figure for the limit. */
         double listed;
         /** The share of that limit that was left when last reported, and when. */
@@ -1234,7 +1234,7 @@
 
         private long leftAtUs;
 
-        private Lane(final Kind kind, final double window) {
+        private Lane(final DestinationKind kind, final double window) {
             this.kind = kind;
             this.window = window;
         }
@@ -1306,12 +1306,12 @@
         private Job(final Message message, final MessageClass kind) {
             this.message = message;
             this.kind = kind;
-            this.aimUs = message.validUntilUs() - kind.deadlineUs() + kind.aimUs();
+            this.aimUs = message.validUntilUs() - kind.deadlineUs() + kind.targetUs();
         }
 
         /** Until when it may be sent: a key that may be in use ends a message like its own deadline does. */
         private long keyEndUs() {
-            final long windowUs = (long) ((1 - KEY_MARGIN) * kind.keyWindowUs());
+            final long windowUs = (long) ((1 - KEY_MARGIN) * kind.dedupWindowUs());
             return !mayHaveRun || kind.effect() != Effect.KEYED
                     ? message.validUntilUs()
                     : Math.min(message.validUntilUs(), firstRunUs + windowUs);
--- a/src/main/java/railspar/Courier.java
+++ b/src/main/java/railspar/Courier.java
@@ -18,13 +18,13 @@
     }
 
     /** How worth falls between the aim and the deadline. */
-    enum Fade {
+    enum ValueDecay {
         LINEAR,
         HALVING
     }
 
     /** What an endpoint's weight tells of its destination's limit. */
-    enum Weights {
+    enum WeightMeaning {
         NONE,
         NOMINAL,
         ROUGH
@@ -42,12 +42,12 @@
         NOT_SENT;
 
         /** True if the message certainly had no effect, so that another attempt is harmless. */
-        public boolean neverRan() {
+        public boolean hadNoEffect() {
             return this == REFUSED || this == NO_CONNECTION || this == NOT_SENT;
         }
 
         /** True if the destination answered, so that the attempt no longer runs. */
-        public boolean ended() {
+        public boolean isAnswered() {
             return this == DELIVERED || this == ERROR;
         }
     }
@@ -60,65 +60,65 @@
     }
 
     /** What an update of the list holds: changed entries, all, the last list known, or no news at all. */
-    enum Update {
-        CHANGES,
-        WHOLE,
-        RESTORED,
-        LOST
+    enum ListUpdate {
+        INCREMENTAL,
+        FULL,
+        CACHED,
+        UNAVAILABLE
     }
 
-    /** A class of message. {@code zoneKeyed}: only endpoints of one zone drop each other's repeats. */
+    /** A class of message. {@code deduplicatedPerZone}: only endpoints of one zone drop each other's repeats. */
     record MessageClass(
             String name,
             Effect effect,
-            boolean zoneKeyed,
-            boolean inTurn,
-            double worth,
-            double lateWorth,
-            long aimUs,
+            boolean deduplicatedPerZone,
+            boolean ordered,
+            double value,
+            double lateValue,
+            long targetUs,
             long deadlineUs,
-            long keyWindowUs) {}
+            long dedupWindowUs) {}
 
     /** A tenant and the messages a second, over all couriers, that are worth their full worth. */
     record Tenant(String name, double quotaPerSecond) {}
 
     /** A kind of destination. */
-    record Kind(String name, boolean routesApart, int messagesPerCall) {}
+    record DestinationKind(String name, boolean separateRoutes, int messagesPerCall) {}
 
     /** The figures of the rules. */
-    record Guarantees(long mustAskUs, double coldFrom, long coldUs, double tipMultiple, long orderSettleUs) {}
+    record RuleParameters(long listRequestDeadlineUs, double coldCapacityShare, long warmupUs, double overloadMultiple, long orderingDelayUs) {}
 
     /** What this courier may use. */
     record Limits(
-            int slots,
-            int maxOpen,
-            int mostAttempts,
-            boolean mayCancel,
-            long idleCloseUs,
-            int multiplex,
+            int maxCallsInFlight,
+            int maxOpenMessages,
+            int maxAttempts,
+            boolean canCancel,
+            long idleTimeoutUs,
+            int streamsPerConnection,
             long maxRetryAfterUs) {}
 
     /** Everything a courier is handed at its start. */
     record Settings(
-            int couriers,
+            int courierCount,
             String zone,
             boolean listOnRequest,
-            Weights weights,
-            Fade fade,
+            WeightMeaning weightMeaning,
+            ValueDecay valueDecay,
             List<MessageClass> classes,
             List<Tenant> tenants,
-            List<Kind> kinds,
-            Guarantees guarantees,
+            List<DestinationKind> destinationKinds,
+            RuleParameters ruleParameters,
             Limits limits) {
         /** Refuses settings that contradict themselves, so that a host learns of it at its start. */
         public Settings {
-            require(couriers >= 1, "a fleet has at least one courier, not " + couriers);
-            require(limits.slots() >= 1, "a courier needs at least one slot, not " + limits.slots());
-            require(limits.maxOpen() >= 1, "a store holds at least one message, not " + limits.maxOpen());
-            require(limits.mostAttempts() >= 1, "a message needs at least one attempt, not " + limits.mostAttempts());
-            require(guarantees.tipMultiple() > 0, "a tipping multiple is above 0, not " + guarantees.tipMultiple());
+            require(courierCount >= 1, "a fleet has at least one courier, not " + courierCount);
+            require(limits.maxCallsInFlight() >= 1, "a courier needs at least one slot, not " + limits.maxCallsInFlight());
+            require(limits.maxOpenMessages() >= 1, "a store holds at least one message, not " + limits.maxOpenMessages());
+            require(limits.maxAttempts() >= 1, "a message needs at least one attempt, not " + limits.maxAttempts());
+            require(ruleParameters.overloadMultiple() > 0, "a tipping multiple is above 0, not " + ruleParameters.overloadMultiple());
             for (final MessageClass kind : classes) {
-                require(kind.aimUs() <= kind.deadlineUs(), kind.name() + ": its aim is later than its deadline");
+                require(kind.targetUs() <= kind.deadlineUs(), kind.name() + ": its aim is later than its deadline");
             }
         }
 
@@ -129,16 +129,16 @@
         }
     }
 
-    /** An endpoint as the list names it; {@code kind} is an index into the settings, or -1. */
-    record Endpoint(long id, Condition condition, String zone, double weight, int kind, long destination) {}
+    /** An endpoint as the list names it; {@code destinationKind} is an index into the settings, or -1. */
+    record Endpoint(long id, Condition condition, String zone, double weight, int destinationKind, long destination) {}
 
     /**
-     * A message taken; {@code messageClass} and {@code tenant} index the settings, tenant -1 if none. {@code slackUs}:
+     * A message taken; {@code messageClass} and {@code tenant} index the settings, tenant -1 if none. {@code ageUncertaintyUs}:
      * it
      * may be so much older than its host can tell; its end must be in time all the same.
      */
     record Message(
-            String id, int messageClass, int tenant, String key, long validUntilUs, long destination, long slackUs) {
+            String id, int messageClass, int tenant, String key, long validUntilUs, long destination, long ageUncertaintyUs) {
         /** Of an age that is known. */
         public Message(
                 final String id,
@@ -151,50 +151,50 @@
         }
 
         /** When it must have its end. */
-        long endUs() {
-            return validUntilUs - slackUs;
+        long latestEndUs() {
+            return validUntilUs - ageUncertaintyUs;
         }
     }
 
     /**
-     * What became of a message before this process held it. {@code mayHaveRun}: an attempt may have had its effect,
-     * the first one at {@code firstRunUs} (on the clock of the events, perhaps before its start), in {@code runZone}.
+     * What became of a message before this process held it. {@code mayHaveTakenEffect}: an attempt may have had its effect,
+     * the first one at {@code firstEffectUs} (on the clock of the events, perhaps before its start), in {@code effectZone}.
      */
-    record Past(int attempts, boolean mayHaveRun, long firstRunUs, String runZone, Out out) {
+    record AttemptHistory(int attempts, boolean mayHaveTakenEffect, long firstEffectUs, String effectZone, InheritedCall inheritedCall) {
         /** With no attempt out. */
-        public Past(final int attempts, final boolean mayHaveRun, final long firstRunUs, final String runZone) {
-            this(attempts, mayHaveRun, firstRunUs, runZone, null);
+        public AttemptHistory(final int attempts, final boolean mayHaveTakenEffect, final long firstEffectUs, final String effectZone) {
+            this(attempts, mayHaveTakenEffect, firstEffectUs, effectZone, null);
         }
     }
 
     /** A call of an earlier process that still goes on, to that endpoint; its outcome comes as any other's. */
-    record Out(long endpoint, long sentUs) {}
+    record InheritedCall(long endpoint, long sentUs) {}
 
     /** How an endpoint and its destination stand with a process that leaves, by name; times are the clock's. */
-    record Standing(Map<String, Double> figures, Map<String, Long> timesUs) {}
+    record EndpointSnapshot(Map<String, Double> values, Map<String, Long> timesUs) {}
 
     /** What a destination told of its limit: the share left, and calls a second (0: no limit). */
-    record Allowance(double shareLeft, double callsPerSecond) {}
+    record ReportedLimit(double remainingShare, double callsPerSecond) {}
 
     /**
-     * The outcome of an attempt. {@code over}: the message has its final answer. {@code waitUs}: the wait told
-     * with the answer, or 0. {@code allowance}: null if nothing was told.
+     * The outcome of an attempt. {@code isFinal}: the message has its final answer. {@code retryAfterUs}: the wait told
+     * with the answer, or 0. {@code reportedLimit}: null if nothing was told.
      */
     record Outcome(
             String messageId,
             Result result,
-            boolean over,
+            boolean isFinal,
             long endpoint,
             long durationUs,
-            long waitUs,
-            Allowance allowance) {}
+            long retryAfterUs,
+            ReportedLimit reportedLimit) {}
 
     /**
      * The work of the decisions, apart from the machine that does it: destinations that state is held for, lanes that
      * the steps have visited, and waiting messages whose deadlines were read or that were weighed for a free slot,
      * since the start.
      */
-    record Workload(int destinationsHeld, long lanesVisited, long messagesVisited) {}
+    record Workload(int destinationsWithState, long routesVisited, long messagesExamined) {}
 
     /**
      * The list of endpoints, as its host holds it. The decisions keep state only for destinations with messages, and
@@ -207,8 +207,8 @@
         /** The listed endpoint of that id, or null. */
         Endpoint endpoint(long id);
 
-        /** {@link Courier#onList} has been told of this; a host that keeps its list up to date itself need not care. */
-        default void update(final Update update, final List<Endpoint> entries) {}
+        /** {@link Courier#onListUpdate} has been told of this; a host that keeps its list up to date itself need not care. */
+        default void update(final ListUpdate update, final List<Endpoint> entries) {}
     }
 
     /** What a courier may ask of its host. */
@@ -226,41 +226,41 @@
         void cancel(String messageId, int attempt);
 
         /** Closes this courier's idle connections to an endpoint, before the actions that follow. */
-        void closeIdle(long endpoint);
+        void closeIdleConnections(long endpoint);
 
         /** Asks for changes of the list from now on. */
-        void follow();
+        void subscribeToList();
 
         /** Asks for {@link Courier#decide} to be called again after a delay, if nothing calls it earlier. */
-        void wake(long delayUs);
+        void wakeAfter(long delayUs);
     }
 
     /**
      * The list changed, or could not be had. Its {@link Directory} says so already; {@code entries} are what changed,
      * and need not hold the whole of a whole list where the host keeps the directory.
      */
-    void onList(long nowUs, Update update, List<Endpoint> entries);
+    void onListUpdate(long nowUs, ListUpdate update, List<Endpoint> entries);
 
     /** A message was taken. */
     void onMessage(long nowUs, Message message);
 
     /** A message that an earlier process of this courier took is held again; in the order taken. */
-    void onResumed(long nowUs, Message message, Past past);
+    void onMessageResumed(long nowUs, Message message, AttemptHistory past);
 
     /** How a listed endpoint stands, for a process that takes over from this one; it changes nothing. */
-    Standing standing(long nowUs, long endpoint);
+    EndpointSnapshot snapshot(long nowUs, long endpoint);
 
     /** How a listed endpoint stood with the process that this one takes over from: waits and guards go on. */
-    void onStanding(long nowUs, long endpoint, Standing standing);
+    void onEndpointSnapshot(long nowUs, long endpoint, EndpointSnapshot standing);
 
     /** An attempt that was out in an earlier process was cut off with it: it may have run. */
-    void onCutOff(long nowUs, String messageId);
+    void onAttemptInterrupted(long nowUs, String messageId);
 
     /**
      * Operators have taken an endpoint out, or put it back at that time: it comes back cold. It holds whatever the list
      * says, and is told again when the list names the endpoint anew.
      */
-    void onHand(long nowUs, long endpoint, boolean out, long backUs);
+    void onOperatorOverride(long nowUs, long endpoint, boolean out, long backUs);
 
     /** This process ends at {@code stopUs}: what it still holds then goes on in the next one. */
     void onStopping(long nowUs, long stopUs);
@@ -269,13 +269,13 @@
     void onOutcome(long nowUs, Outcome outcome);
 
     /** An endpoint told to wait in an answer that came behind its attempt's end, or for none that is still held. */
-    void onWait(long nowUs, long endpoint, long waitUs);
+    void onRetryAfter(long nowUs, long endpoint, long waitUs);
 
     /**
      * A message of that key has ended, or had when this process began, by a notice that is not answered yet: until
      * {@link #onNoticeAnswered} it is not over for those behind it. A host whose ends are over at once never calls it.
      */
-    void onNoticeOwed(long nowUs, String messageId, String key);
+    void onNoticePending(long nowUs, String messageId, String key);
 
     /** The notice that was owed is answered. */
     void onNoticeAnswered(long nowUs, String messageId, String key);
@@ -287,7 +287,7 @@
     void decide(long nowUs);
 
     /** Listed endpoints that get nothing now, by hand or by judgement; it changes nothing. */
-    int avoided(long nowUs);
+    int avoidedEndpoints(long nowUs);
 
     /** How a destination stands with this courier, in a few words for the log; it changes nothing. */
     String describe(long destination);
--- a/src/main/java/railspar/DeliveryRules.java
+++ b/src/main/java/railspar/DeliveryRules.java
@@ -54,7 +54,7 @@
      * attempts may have done. {@code zone}: the endpoint's.
      */
     public record Attempt(
-            MessageClass kind, boolean recorded, boolean current, boolean available, Courier.Past past, String zone) {}
+            MessageClass kind, boolean recorded, boolean current, boolean available, Courier.AttemptHistory past, String zone) {}
 
     /** True where sending a message once more does no harm. {@code remembered}: endpoints still know its key. */
     static boolean mayRepeat(final Effect effect, final boolean mayHaveRun, final boolean remembered) {
@@ -63,7 +63,7 @@
 
     /** True where a client may be told that handing its message in again, to any courier, is harmless. */
     public static boolean mayRefuse(final MessageClass kind, final boolean mayHaveRun) {
-        return !mayHaveRun || kind.effect() == Effect.SAFE || kind.effect() == Effect.KEYED && !kind.zoneKeyed();
+        return !mayHaveRun || kind.effect() == Effect.SAFE || kind.effect() == Effect.KEYED && !kind.deduplicatedPerZone();
     }
 
     /** True where a message may be dropped because its client was not told that it is taken on. */
@@ -79,7 +79,7 @@
         if (request == Transmission.NOT_SENT) {
             return reason == Result.CANCELLED || reason == Result.NOT_SENT ? Result.NOT_SENT : Result.NO_CONNECTION;
         }
-        return reason.neverRan() ? Result.RESET : reason;
+        return reason.hadNoEffect() ? Result.RESET : reason;
     }
 
     /** The rule that writing an attempt now would break, if any. */
@@ -98,13 +98,13 @@
 
     private static Optional<Violation> repeatViolation(final Attempt attempt, final long nowUs) {
         final MessageClass kind = attempt.kind();
-        final Courier.Past past = attempt.past();
-        final boolean remembered = nowUs < past.firstRunUs() + kind.keyWindowUs();
-        if (!mayRepeat(kind.effect(), past.mayHaveRun(), remembered)) {
+        final Courier.AttemptHistory past = attempt.past();
+        final boolean remembered = nowUs < past.firstEffectUs() + kind.dedupWindowUs();
+        if (!mayRepeat(kind.effect(), past.mayHaveTakenEffect(), remembered)) {
             return Optional.of(
                     kind.effect() == Effect.UNSAFE ? Violation.REPEAT_OF_UNSAFE : Violation.REPEAT_AFTER_KEY_WINDOW);
         }
-        if (past.mayHaveRun() && kind.zoneKeyed() && !attempt.zone().equals(past.runZone())) {
+        if (past.mayHaveTakenEffect() && kind.deduplicatedPerZone() && !attempt.zone().equals(past.effectZone())) {
             return Optional.of(Violation.REPEAT_IN_OTHER_ZONE);
         }
         return Optional.empty();
--- a/src/main/java/railspar/DestinationTable.java
+++ b/src/main/java/railspar/DestinationTable.java
@@ -23,7 +23,7 @@
     private final Courier.Settings settings;
     private final Courier.Directory directory;
     private final int mostResting;
-    private final Function<Courier.Kind, Lane> newLane;
+    private final Function<Courier.DestinationKind, Lane> newLane;
     private final Consumer<Lane> step;
     private final ObjLongConsumer<Lane> rest;
     private final Predicate<Lane> mayForget;
@@ -42,7 +42,7 @@
             final Courier.Settings settings,
             final Courier.Directory directory,
             final int mostResting,
-            final Function<Courier.Kind, Lane> newLane,
+            final Function<Courier.DestinationKind, Lane> newLane,
             final Consumer<Lane> step,
             final ObjLongConsumer<Lane> rest,
             final Predicate<Lane> mayForget) {
@@ -156,9 +156,9 @@
     // ---------------------------------------------------------------- the list
 
     /** The list has changed: takes up what it says of the destinations that have state. */
-    void update(final Courier.Update update, final List<Courier.Endpoint> entries) {
+    void update(final Courier.ListUpdate update, final List<Courier.Endpoint> entries) {
         directory.update(update, entries);
-        if (update == Courier.Update.CHANGES) {
+        if (update == Courier.ListUpdate.INCREMENTAL) {
             entries.forEach(this::apply);
         } else {
             destinations.forEach(this::reread);
@@ -193,7 +193,7 @@
             nodes.put(entry.id(), node);
         }
         node.condition = entry.condition();
-        if (settings.weights() != Courier.Weights.NONE) {
+        if (settings.weightMeaning() != Courier.WeightMeaning.NONE) {
             node.lane.listed = entry.weight();
             // What answers report is newer and nearer than the list's figure.
             final boolean keep = node.lane.reported && node.lane.told > 0;
@@ -202,10 +202,10 @@
     }
 
     private Lane lane(final Destination destination, final Courier.Endpoint entry) {
-        final Courier.Kind kind = entry.kind() < 0
-                ? new Courier.Kind("", false, 1)
-                : settings.kinds().get(entry.kind());
-        if (kind.routesApart() || destination.lanes.isEmpty()) {
+        final Courier.DestinationKind kind = entry.destinationKind() < 0
+                ? new Courier.DestinationKind("", false, 1)
+                : settings.destinationKinds().get(entry.destinationKind());
+        if (kind.separateRoutes() || destination.lanes.isEmpty()) {
             destination.lanes.add(newLane.apply(kind));
         }
         return destination.lanes.get(destination.lanes.size() - 1);
@@ -216,7 +216,7 @@
         for (final Lane lane : destination.lanes) {
             lane.nodes.removeIf(node -> node.condition == Courier.Condition.GONE
                     && node.inFlight == 0
-                    && !lane.kind.routesApart()
+                    && !lane.kind.separateRoutes()
                     && (nodes.remove(node.entry.id(), node) || nodes.get(node.entry.id()) != node));
         }
     }
--- a/src/main/java/railspar/EndpointMap.java
+++ b/src/main/java/railspar/EndpointMap.java
@@ -28,8 +28,8 @@
     }
 
     @Override
-    public void update(final Courier.Update update, final List<Courier.Endpoint> entries) {
-        if (update != Courier.Update.CHANGES) {
+    public void update(final Courier.ListUpdate update, final List<Courier.Endpoint> entries) {
+        if (update != Courier.ListUpdate.INCREMENTAL) {
             final Set<Long> named = new HashSet<>();
             entries.forEach(entry -> named.add(entry.id()));
             endpoints.keySet().stream()
--- a/src/main/java/railspar/bench/Adapter.java
+++ b/src/main/java/railspar/bench/Adapter.java
@@ -123,23 +123,23 @@
     }
 
     private Runnable list(final Host host, final Fields fields) {
-        final Courier.Update update =
+        final Courier.ListUpdate update =
                 switch (fields.text("scope")) {
-                    case "incr" -> Courier.Update.CHANGES;
-                    case "total" -> Courier.Update.WHOLE;
-                    case "warm_copy" -> Courier.Update.RESTORED;
-                    case "lost" -> Courier.Update.LOST;
+                    case "incr" -> Courier.ListUpdate.INCREMENTAL;
+                    case "total" -> Courier.ListUpdate.FULL;
+                    case "warm_copy" -> Courier.ListUpdate.CACHED;
+                    case "lost" -> Courier.ListUpdate.UNAVAILABLE;
                     default -> throw fields.malformed("unknown scope '" + fields.text("scope") + "'");
                 };
         final List<Courier.Endpoint> entries = new ArrayList<>();
-        if (update != Courier.Update.LOST) {
+        if (update != Courier.ListUpdate.UNAVAILABLE) {
             final List<Fields> rows = sheets.get((int) fields.whole("bank"));
             if (rows == null) {
                 throw fields.malformed("no sheet " + fields.text("bank"));
             }
             rows.forEach(row -> entries.add(endpoint(host, row)));
         }
-        return () -> host.control.onList(nowUs, update, entries);
+        return () -> host.control.onListUpdate(nowUs, update, entries);
     }
 
     private static Courier.Endpoint endpoint(final Host host, final Fields row) {
@@ -152,8 +152,8 @@
                 };
         final String kindName = row.text("kind", "");
         int kind = -1;
-        for (int index = 0; index < host.settings.kinds().size(); index++) {
-            if (host.settings.kinds().get(index).name().equals(kindName)) {
+        for (int index = 0; index < host.settings.destinationKinds().size(); index++) {
+            if (host.settings.destinationKinds().get(index).name().equals(kindName)) {
                 kind = index;
             }
         }
@@ -208,7 +208,7 @@
         };
     }
 
-    private static Courier.Allowance allowance(final Host host, final Fields fields) {
+    private static Courier.ReportedLimit allowance(final Host host, final Fields fields) {
         final String[] values = fields.list("load");
         if (values.length == 0
                 || host.shareField < 0
@@ -216,7 +216,7 @@
                 || Math.max(host.shareField, host.limitField) >= values.length) {
             return null;
         }
-        return new Courier.Allowance(fields.number(values[host.shareField]), fields.number(values[host.limitField]));
+        return new Courier.ReportedLimit(fields.number(values[host.shareField]), fields.number(values[host.limitField]));
     }
 
     private Runnable outcome(final Host host, final Fields fields) {
@@ -301,17 +301,17 @@
         }
 
         @Override
-        public void closeIdle(final long endpoint) {
+        public void closeIdleConnections(final long endpoint) {
             act("free_links").append("\tendpoint=").append(endpoint).append('\n');
         }
 
         @Override
-        public void follow() {
+        public void subscribeToList() {
             act("follow").append("\ton=1\n");
         }
 
         @Override
-        public void wake(final long delayUs) {
+        public void wakeAfter(final long delayUs) {
             act("remind").append("\tdelay=").append(delayUs).append("\ttoken=0\n");
         }
     }
--- a/src/main/java/railspar/bench/SettingsReader.java
+++ b/src/main/java/railspar/bench/SettingsReader.java
@@ -13,18 +13,18 @@
 
     /** Reads all settings that the decisions ask for. */
     public static Courier.Settings read(final Fields fields) {
-        final Courier.Weights weights =
+        final Courier.WeightMeaning weights =
                 switch (fields.text("weights", "none")) {
-                    case "nominal" -> Courier.Weights.NOMINAL;
-                    case "rough" -> Courier.Weights.ROUGH;
-                    default -> Courier.Weights.NONE;
+                    case "nominal" -> Courier.WeightMeaning.NOMINAL;
+                    case "rough" -> Courier.WeightMeaning.ROUGH;
+                    default -> Courier.WeightMeaning.NONE;
                 };
         return new Courier.Settings(
                 couriers(fields),
                 fields.text("my_zone", ""),
                 fields.text("discovery", "pushed").equals("on_request"),
                 weights,
-                fields.text("extra.fades", "linear").equals("halving") ? Courier.Fade.HALVING : Courier.Fade.LINEAR,
+                fields.text("extra.fades", "linear").equals("halving") ? Courier.ValueDecay.HALVING : Courier.ValueDecay.LINEAR,
                 classes(fields),
                 tenants(fields),
                 kinds(fields),
@@ -75,13 +75,13 @@
         return tenants;
     }
 
-    private static List<Courier.Kind> kinds(final Fields fields) {
+    private static List<Courier.DestinationKind> kinds(final Fields fields) {
         final String[] names = fields.list("flavors");
         final String[] apart = fields.list("extra.routes_apart");
         final String[] perCall = fields.list("extra.per_call");
-        final List<Courier.Kind> kinds = new ArrayList<>();
+        final List<Courier.DestinationKind> kinds = new ArrayList<>();
         for (int index = 0; index < names.length; index++) {
-            kinds.add(new Courier.Kind(
+            kinds.add(new Courier.DestinationKind(
                     names[index],
                     index < apart.length && apart[index].equals("true"),
                     index < perCall.length ? (int) fields.number(perCall[index]) : 1));
@@ -89,8 +89,8 @@
         return kinds;
     }
 
-    private static Courier.Guarantees guarantees(final Fields fields) {
-        return new Courier.Guarantees(
+    private static Courier.RuleParameters guarantees(final Fields fields) {
+        return new Courier.RuleParameters(
                 fields.whole("guarantees.must_ask_in", FOREVER_US),
                 fields.number("guarantees.cold_from", 1),
                 fields.whole("guarantees.cold", 0),
--- a/src/main/java/railspar/node/CallCodec.java
+++ b/src/main/java/railspar/node/CallCodec.java
@@ -80,7 +80,7 @@
 
     /** What an answer says of a call, of one message or of all of several. */
     static Answer answer(final HttpResponse head, final long waitUs) {
-        final Courier.Allowance allowance = allowance(report(head));
+        final Courier.ReportedLimit allowance = allowance(report(head));
         final boolean lineBusy = "1".equals(head.headers().get("X-Line-Busy"));
         return switch (head.status().code()) {
             case OK -> new Answer(Result.DELIVERED, true, waitUs, allowance);
@@ -137,7 +137,7 @@
     }
 
     /** What a destination told of its limit; null if it told nothing, or nothing that can be read. */
-    private static Courier.Allowance allowance(final String report) {
+    private static Courier.ReportedLimit allowance(final String report) {
         if (report == null) {
             return null;
         }
@@ -156,6 +156,6 @@
             return null;
         }
         final boolean whole = Double.isFinite(shareLeft) && Double.isFinite(callsPerSecond) && callsPerSecond >= 0;
-        return whole ? new Courier.Allowance(shareLeft, callsPerSecond) : null;
+        return whole ? new Courier.ReportedLimit(shareLeft, callsPerSecond) : null;
     }
 }
--- a/src/main/java/railspar/node/Discovery.java
+++ b/src/main/java/railspar/node/Discovery.java
@@ -68,7 +68,7 @@
                 stagingBytes,
                 this);
         this.start = new ListStart(this::listed, subscription::isReceiving);
-        config.settings().kinds().forEach(kind -> kinds.put(kind.name(), kinds.size()));
+        config.settings().destinationKinds().forEach(kind -> kinds.put(kind.name(), kinds.size()));
         this.store = new ListStore(
                 config.state(), config.fingerprint(), (long) (DISK_SHARE * config.diskBytes()), Log::info);
     }
@@ -83,7 +83,7 @@
     /** Messages that one call to an endpoint may carry. */
     int messagesPerCall(final long endpoint) {
         final int kind = table.isListed(endpoint) ? kind(endpoint) : -1;
-        return kind < 0 ? 1 : config.settings().kinds().get(kind).messagesPerCall();
+        return kind < 0 ? 1 : config.settings().destinationKinds().get(kind).messagesPerCall();
     }
 
     List<Courier.Endpoint> entries() {
@@ -110,7 +110,7 @@
             return null;
         }
         final int kind = kind(endpoint);
-        final boolean apart = kind >= 0 && config.settings().kinds().get(kind).routesApart();
+        final boolean apart = kind >= 0 && config.settings().destinationKinds().get(kind).separateRoutes();
         return new Endpoints.Target(table.destinationOf(endpoint), apart, table.addressOf(endpoint));
     }
 
@@ -172,7 +172,7 @@
             read(known);
         } else {
             table = stored;
-            host.list(Courier.Update.RESTORED, List.of());
+            host.list(Courier.ListUpdate.CACHED, List.of());
         }
     }
 
@@ -189,7 +189,7 @@
         try {
             final StagedList list = known.read(stagingBytes, this::unusable);
             if (list != null && list.hasEntries()) {
-                apply(list, Courier.Update.RESTORED);
+                apply(list, Courier.ListUpdate.CACHED);
             }
         } catch (final IOException e) {
             fault("the list in the configuration cannot be used: " + e.getMessage());
@@ -222,7 +222,7 @@
 
     @Override
     public void take(final StagedList list) throws ListFormatException {
-        apply(list, list.isWhole() ? Courier.Update.WHOLE : Courier.Update.CHANGES);
+        apply(list, list.isWhole() ? Courier.ListUpdate.FULL : Courier.ListUpdate.INCREMENTAL);
         start.heard();
     }
 
@@ -230,7 +230,7 @@
     @Override
     public void unchanged(final boolean first) {
         if (first) {
-            host.list(Courier.Update.CHANGES, List.of());
+            host.list(Courier.ListUpdate.INCREMENTAL, List.of());
         }
         start.heard();
     }
@@ -238,7 +238,7 @@
     @Override
     public void lost(final boolean spoilt, final boolean retries) {
         if (!retries) {
-            host.list(Courier.Update.LOST, List.of());
+            host.list(Courier.ListUpdate.UNAVAILABLE, List.of());
         }
         start.watchEnded(spoilt);
     }
@@ -250,10 +250,10 @@
 
     // ---------------------------------------------------------------- updates
 
-    private void apply(final StagedList list, final Courier.Update update) throws ListFormatException {
+    private void apply(final StagedList list, final Courier.ListUpdate update) throws ListFormatException {
         final Difference difference = new Difference(update);
         TableUpdate.apply(table, list, difference);
-        if (update != Courier.Update.RESTORED) {
+        if (update != Courier.ListUpdate.CACHED) {
             Log.info("the list at " + version() + ": " + update + ", " + difference.named + " entries, "
                     + difference.gone.size() + " gone");
             store.commit(table);
@@ -296,14 +296,14 @@
 
     /** What an update changes, as the host and the decisions are told. */
     private final class Difference implements TableUpdate.Listener {
-        private final Courier.Update update;
+        private final Courier.ListUpdate update;
         /** What is not as before, and what went; of a whole list none, as the decisions look up what they need. */
         private final List<Courier.Endpoint> changed = new ArrayList<>();
 
         private final List<Long> gone = new ArrayList<>();
         private int named;
 
-        Difference(final Courier.Update update) {
+        Difference(final Courier.ListUpdate update) {
             this.update = update;
         }
 
@@ -321,14 +321,14 @@
         }
 
         private void change(final Courier.Endpoint entry) {
-            if (update == Courier.Update.CHANGES) {
+            if (update == Courier.ListUpdate.INCREMENTAL) {
                 changed.add(entry);
             }
         }
 
         /** The configuration's own list comes with every start: only what is newer is kept. */
         private void keep(final long endpoint) {
-            if (update != Courier.Update.RESTORED) {
+            if (update != Courier.ListUpdate.CACHED) {
                 store.put(table, endpoint);
             }
         }
@@ -338,7 +338,7 @@
             gone.add(endpoint);
             final Courier.Endpoint before = endpoint(endpoint);
             unlisted.remove(endpoint);
-            if (table.isListed(endpoint) && update != Courier.Update.RESTORED) {
+            if (table.isListed(endpoint) && update != Courier.ListUpdate.CACHED) {
                 store.remove(table, endpoint);
             }
             if (before != null) {
@@ -347,7 +347,7 @@
                         Courier.Condition.GONE,
                         before.zone(),
                         before.weight(),
-                        before.kind(),
+                        before.destinationKind(),
                         before.destination()));
             }
         }
--- a/src/main/java/railspar/node/Endpoints.java
+++ b/src/main/java/railspar/node/Endpoints.java
@@ -76,7 +76,7 @@
     record Target(long destination, boolean apart, InetSocketAddress address) {}
 
     /** How a message fared in a call. {@code waitUs}: what the answer told to wait, or 0. */
-    record Answer(Result result, boolean over, long waitUs, Courier.Allowance allowance) {}
+    record Answer(Result result, boolean over, long waitUs, Courier.ReportedLimit allowance) {}
 
     Endpoints(
             final Config config, final EventLoop loop, final Clock clock, final StallDetector stalls, final Host host) {
@@ -84,7 +84,7 @@
         this.stalls = stalls;
         this.loop = loop;
         this.host = host;
-        this.idleUs = (long) (IDLE_SHARE * config.settings().limits().idleCloseUs());
+        this.idleUs = (long) (IDLE_SHARE * config.settings().limits().idleTimeoutUs());
         this.mostConnections = (int) Math.max(1, SOCKET_SHARE * config.sockets());
         this.bootstrap = new Bootstrap()
                 .group(loop)
--- a/src/main/java/railspar/node/Held.java
+++ b/src/main/java/railspar/node/Held.java
@@ -101,14 +101,14 @@
     }
 
     /** As {@link #past}, where the call that is out goes on at a process that still lives. */
-    Courier.Past pastBut(final Clock clock, final long endpoint) {
-        final Courier.Past settled = settledPast(clock);
-        return new Courier.Past(
+    Courier.AttemptHistory pastBut(final Clock clock, final long endpoint) {
+        final Courier.AttemptHistory settled = settledPast(clock);
+        return new Courier.AttemptHistory(
                 settled.attempts(),
-                settled.mayHaveRun(),
-                settled.firstRunUs(),
-                settled.runZone(),
-                new Courier.Out(endpoint, clock.fromPersistentUs(outPersistentUs)));
+                settled.mayHaveTakenEffect(),
+                settled.firstEffectUs(),
+                settled.effectZone(),
+                new Courier.InheritedCall(endpoint, clock.fromPersistentUs(outPersistentUs)));
     }
 
     /** True if an attempt may have run, or is out. */
@@ -117,16 +117,16 @@
     }
 
     /** What the attempts before the one that is out may have done. */
-    Courier.Past settledPast(final Clock clock) {
+    Courier.AttemptHistory settledPast(final Clock clock) {
         final boolean ran = firstRunPersistentUs != NEVER;
-        return new Courier.Past(attempts, ran, ran ? clock.fromPersistentUs(firstRunPersistentUs) : 0, runZone);
+        return new Courier.AttemptHistory(attempts, ran, ran ? clock.fromPersistentUs(firstRunPersistentUs) : 0, runZone);
     }
 
     /** What a process that did not see the attempts may count on. A call that was out may have run. */
-    Courier.Past past(final Clock clock) {
+    Courier.AttemptHistory past(final Clock clock) {
         final long firstPersistentUs = Math.min(firstRunPersistentUs, outPersistentUs);
         final boolean ran = firstPersistentUs != NEVER;
-        return new Courier.Past(
+        return new Courier.AttemptHistory(
                 attempts, ran, ran ? clock.fromPersistentUs(firstPersistentUs) : 0, isOut() ? outZone : runZone);
     }
 }
--- a/src/main/java/railspar/node/Host.java
+++ b/src/main/java/railspar/node/Host.java
@@ -168,7 +168,7 @@
                 .toList());
         this.loop = loop;
         this.clock = clock;
-        this.folder = new Marks(config.state(), config.settings().guarantees().coldUs());
+        this.folder = new Marks(config.state(), config.settings().ruleParameters().warmupUs());
         this.stalls = StallDetector.on(loop, clock);
         this.endpoints = new Endpoints(config, loop, clock, stalls, this);
         this.unrecordedCalls = new UnrecordedCalls(clock, endpoints, this::recordAttempts, this::mayCall);
@@ -251,7 +251,7 @@
         final Long endpoint = discovery.idOf(host);
         if (endpoint != null) {
             final long at = marks.get(host);
-            control.onHand(clock.nowUs(), endpoint, at == Marks.OUT, at == Marks.OUT ? 0 : clock.fromPersistentUs(at));
+            control.onOperatorOverride(clock.nowUs(), endpoint, at == Marks.OUT, at == Marks.OUT ? 0 : clock.fromPersistentUs(at));
             if (at == Marks.OUT) {
                 endpoints.refrain(endpoint);
             }
@@ -314,7 +314,7 @@
                 null,
                 clock.nowUs());
         final String host = held.isOut() ? outTo(held.id) : null;
-        final Courier.Past past;
+        final Courier.AttemptHistory past;
         if (host == null) {
             past = held.past(clock);
             if (held.isOut()) {
@@ -325,7 +325,7 @@
             past = held.pastBut(clock, open.endpoint);
         }
         messages.put(held.id, open);
-        control.onResumed(clock.nowUs(), message(open, index), past);
+        control.onMessageResumed(clock.nowUs(), message(open, index), past);
     }
 
     // ---------------------------------------------------------------- taking over, and leaving
@@ -380,7 +380,7 @@
         final Open open = messages.get(id);
         if (open != null && open.held.isOut()) {
             journal.settle(open.held, false);
-            control.onCutOff(clock.nowUs(), id);
+            control.onAttemptInterrupted(clock.nowUs(), id);
             touch();
         }
     }
@@ -388,10 +388,10 @@
     /** What a process that leaves tells. */
     private final class Heard implements Predecessor.Events {
         @Override
-        public void standing(final String host, final Courier.Standing standing) {
+        public void standing(final String host, final Courier.EndpointSnapshot standing) {
             final Long endpoint = discovery.idOf(host);
             if (endpoint != null) {
-                control.onStanding(clock.nowUs(), endpoint, standing);
+                control.onEndpointSnapshot(clock.nowUs(), endpoint, standing);
             }
         }
 
@@ -431,8 +431,8 @@
         unrecordedCalls.holdBack(endpoint -> true);
         journal.flush();
         for (final Courier.Endpoint entry : discovery.entries()) {
-            final Courier.Standing standing = control.standing(clock.nowUs(), entry.id());
-            if (!standing.figures().isEmpty()) {
+            final Courier.EndpointSnapshot standing = control.snapshot(clock.nowUs(), entry.id());
+            if (!standing.values().isEmpty()) {
                 file.standing(discovery.nameOf(entry.id()), standing);
             }
         }
@@ -523,7 +523,7 @@
         }
         // One of the same key may have been handed in at the process that leaves just before.
         hear();
-        final boolean full = messages.size() >= config.settings().limits().maxOpen();
+        final boolean full = messages.size() >= config.settings().limits().maxOpenMessages();
         final Journal.Admission admission = full ? Journal.Admission.REFUSED : journal.take(held);
         if (admission != Journal.Admission.TAKEN) {
             notTaken(held, admission, reply);
@@ -587,8 +587,8 @@
     }
 
     /** The list has changed, or could not be had; the {@link Discovery} says so already. */
-    void list(final Courier.Update update, final List<Courier.Endpoint> changed) {
-        control.onList(clock.nowUs(), update, changed);
+    void list(final Courier.ListUpdate update, final List<Courier.Endpoint> changed) {
+        control.onListUpdate(clock.nowUs(), update, changed);
         marks.keySet().forEach(this::mark);
         touch();
     }
@@ -657,7 +657,7 @@
             if (told != null) {
                 unrecordedCalls.holdBack(other -> isOf(told.destination(), other));
             }
-            control.onWait(clock.nowUs(), endpoint, waitUs);
+            control.onRetryAfter(clock.nowUs(), endpoint, waitUs);
             touch();
         }
     }
@@ -674,7 +674,7 @@
                 journal.settle(open.held, true);
                 end(open, new Held.Notice(true, 0));
             } else {
-                journal.settle(open.held, answer.result().neverRan());
+                journal.settle(open.held, answer.result().hadNoEffect());
             }
         }
         control.onOutcome(
@@ -877,7 +877,7 @@
         if (open.kind.effect() != Courier.Effect.KEYED || firstPersistentUs == Held.NEVER) {
             return Held.NEVER;
         }
-        return clock.fromPersistentUs(firstPersistentUs) + (long) ((1 - KEY_MARGIN) * open.kind.keyWindowUs());
+        return clock.fromPersistentUs(firstPersistentUs) + (long) ((1 - KEY_MARGIN) * open.kind.dedupWindowUs());
     }
 
     @Override
@@ -943,7 +943,7 @@
 
     private void blockKey(final Held held) {
         if (held.orderKey != null) {
-            control.onNoticeOwed(clock.nowUs(), held.id, held.orderKey);
+            control.onNoticePending(clock.nowUs(), held.id, held.orderKey);
         }
     }
 
@@ -996,7 +996,7 @@
     private void count() {
         // Whoever owns the journal counts what is held: this process no more once it leaves.
         figures.outstanding(leaving == null ? messages.size() : 0);
-        figures.endpoints(discovery.listed(), control.avoided(clock.nowUs()));
+        figures.endpoints(discovery.listed(), control.avoidedEndpoints(clock.nowUs()));
     }
 
     /** The numbers, which any thread may read. */
@@ -1022,17 +1022,17 @@
     }
 
     @Override
-    public void closeIdle(final long endpoint) {
+    public void closeIdleConnections(final long endpoint) {
         endpoints.closeIdle(endpoint);
     }
 
     @Override
-    public void follow() {
+    public void subscribeToList() {
         discovery.follow();
     }
 
     @Override
-    public void wake(final long delayUs) {
+    public void wakeAfter(final long delayUs) {
         loop.schedule(this::touch, delayUs, TimeUnit.MICROSECONDS);
     }
 
--- a/src/main/java/railspar/node/Intake.java
+++ b/src/main/java/railspar/node/Intake.java
@@ -549,13 +549,13 @@
             final String[] parts = path.split("/", -1);
             final Courier.MessageClass kind = parts.length > 1 && parts[0].isEmpty() ? host.kind(parts[1]) : null;
             if (kind == null
-                    || parts.length != (kind.inTurn() ? 3 : 2)
+                    || parts.length != (kind.ordered() ? 3 : 2)
                     || !KEY.matcher(parts[parts.length - 1]).matches()) {
                 answer(HttpResponseStatus.NOT_FOUND, 0);
             } else if (!request.head().method().equals(HttpMethod.POST)) {
                 answer(HttpResponseStatus.METHOD_NOT_ALLOWED, 0);
             } else {
-                handIn(request, kind, kind.inTurn() ? parts[2] : null);
+                handIn(request, kind, kind.ordered() ? parts[2] : null);
             }
         }
 
--- a/src/main/java/railspar/node/Leaving.java
+++ b/src/main/java/railspar/node/Leaving.java
@@ -54,10 +54,10 @@
     }
 
     /** How an endpoint and its destination stand; times go as persistent time, which the next process knows as well. */
-    void standing(final String host, final Courier.Standing standing) throws IOException {
+    void standing(final String host, final Courier.EndpointSnapshot standing) throws IOException {
         append(STANDING, host, out -> {
-            out.writeInt(standing.figures().size());
-            for (final Map.Entry<String, Double> figure : standing.figures().entrySet()) {
+            out.writeInt(standing.values().size());
+            for (final Map.Entry<String, Double> figure : standing.values().entrySet()) {
                 out.writeUTF(figure.getKey());
                 out.writeDouble(figure.getValue());
             }
@@ -87,7 +87,7 @@
         out.writeLong(answer.waitUs());
         out.writeBoolean(answer.allowance() != null);
         if (answer.allowance() != null) {
-            out.writeDouble(answer.allowance().shareLeft());
+            out.writeDouble(answer.allowance().remainingShare());
             out.writeDouble(answer.allowance().callsPerSecond());
         }
     }
--- a/src/main/java/railspar/node/Predecessor.java
+++ b/src/main/java/railspar/node/Predecessor.java
@@ -20,7 +20,7 @@
 final class Predecessor {
     /** What comes to pass there. */
     interface Events {
-        void standing(String host, Courier.Standing standing);
+        void standing(String host, Courier.EndpointSnapshot standing);
 
         void carried(String id, Endpoints.Answer answer, long durationUs);
 
@@ -122,12 +122,12 @@
         final boolean over = in.readBoolean();
         final long durationUs = in.readLong();
         final long waitUs = in.readLong();
-        final Courier.Allowance allowance =
-                in.readBoolean() ? new Courier.Allowance(in.readDouble(), in.readDouble()) : null;
+        final Courier.ReportedLimit allowance =
+                in.readBoolean() ? new Courier.ReportedLimit(in.readDouble(), in.readDouble()) : null;
         events.carried(id, new Endpoints.Answer(result, over, waitUs, allowance), durationUs);
     }
 
-    private Courier.Standing standing(final DataInputStream in) throws IOException {
+    private Courier.EndpointSnapshot standing(final DataInputStream in) throws IOException {
         final Map<String, Double> figures = new HashMap<>();
         for (int left = in.readInt(); left > 0; left--) {
             figures.put(in.readUTF(), in.readDouble());
@@ -136,7 +136,7 @@
         for (int left = in.readInt(); left > 0; left--) {
             times.put(in.readUTF(), clock.fromPersistentUs(in.readLong()));
         }
-        return new Courier.Standing(figures, times);
+        return new Courier.EndpointSnapshot(figures, times);
     }
 
     long position() {
--- a/src/main/java/railspar/scale/fleet/CourierSettings.java
+++ b/src/main/java/railspar/scale/fleet/CourierSettings.java
@@ -26,12 +26,12 @@
                 parameters.plan().couriers(),
                 zone,
                 false,
-                Courier.Weights.ROUGH,
-                Courier.Fade.LINEAR,
+                Courier.WeightMeaning.ROUGH,
+                Courier.ValueDecay.LINEAR,
                 classes(),
                 List.of(),
-                List.of(new Courier.Kind(FleetPlan.KIND, false, 1)),
-                new Courier.Guarantees(
+                List.of(new Courier.DestinationKind(FleetPlan.KIND, false, 1)),
+                new Courier.RuleParameters(
                         MUST_ASK_US, model.coldFrom(), Units.us(model.coldSeconds()), model.tipMultiple(), 0),
                 new Courier.Limits(
                         SLOTS,
--- a/src/main/java/railspar/scale/fleet/HollowCourier.java
+++ b/src/main/java/railspar/scale/fleet/HollowCourier.java
@@ -210,7 +210,7 @@
         ready = false;
         process++;
         watch.close();
-        figures.lanesVisited += control.workload().lanesVisited();
+        figures.lanesVisited += control.workload().routesVisited();
         control = null;
         messages.cutOffCalls();
         events.after(parameters.model().downMs() * Units.US_PER_MS, this::startProcess);
@@ -235,7 +235,7 @@
         readyAtUs = events.nowUs();
         figures.readyUs(process == 1, events.nowUs() - processStartUs);
         for (final OpenMessage message : messages.all()) {
-            control.onResumed(events.nowUs(), message.message, message.past());
+            control.onMessageResumed(events.nowUs(), message.message, message.past());
         }
         decideOnEvent();
         scheduleArrival();
@@ -251,7 +251,7 @@
         final long before = list.version();
         final List<Courier.Endpoint> changed = readList(line);
         final long fromNs = System.nanoTime();
-        control.onList(events.nowUs(), Courier.Update.CHANGES, changed);
+        control.onListUpdate(events.nowUs(), Courier.ListUpdate.INCREMENTAL, changed);
         figures.processor.applyNs += System.nanoTime() - fromNs;
         if (ready) {
             decideOnEvent();
@@ -399,7 +399,7 @@
         final String id = message.message.id();
         message.callOut = false;
         final boolean delivered = result == Courier.Result.DELIVERED;
-        if (!result.neverRan()) {
+        if (!result.hadNoEffect()) {
             message.mayHaveRunSince(call.atUs());
         }
         if (delivered) {
@@ -451,28 +451,28 @@
     }
 
     @Override
-    public void closeIdle(final long endpoint) {
+    public void closeIdleConnections(final long endpoint) {
         // Connections are not modelled.
     }
 
     @Override
-    public void follow() {
+    public void subscribeToList() {
         // The list is pushed: the watch is kept from the start.
     }
 
     @Override
-    public void wake(final long delayUs) {
+    public void wakeAfter(final long delayUs) {
         inThisProcess(delayUs, this::decideOnWake);
     }
 
     /** Destinations that the decisions hold state for. */
     int destinationsWithState() {
-        return control == null ? 0 : control.workload().destinationsHeld();
+        return control == null ? 0 : control.workload().destinationsWithState();
     }
 
     /** Lanes that the steps of all processes have visited. */
     long lanesVisited() {
-        return figures.lanesVisited + (control == null ? 0 : control.workload().lanesVisited());
+        return figures.lanesVisited + (control == null ? 0 : control.workload().routesVisited());
     }
 
     // ---------------------------------------------------------------- stepping
--- a/src/main/java/railspar/scale/fleet/OpenMessage.java
+++ b/src/main/java/railspar/scale/fleet/OpenMessage.java
@@ -24,7 +24,7 @@
     }
 
     /** What a process that starts anew is told of it. */
-    Courier.Past past() {
-        return new Courier.Past(attempts, mayHaveRun, firstRunUs, "");
+    Courier.AttemptHistory past() {
+        return new Courier.AttemptHistory(attempts, mayHaveRun, firstRunUs, "");
     }
 }
--- a/src/main/java/railspar/scale/slope/DecisionFixture.java
+++ b/src/main/java/railspar/scale/slope/DecisionFixture.java
@@ -53,7 +53,7 @@
     /** Every destination tells a wait of a day, so that what is taken for it stays waiting. */
     void closeAll() {
         for (int destination = 0; destination < destinations; destination++) {
-            list.endpointsOf(destination).forEach(endpoint -> control.onWait(nowUs, endpoint.id(), DAY_US));
+            list.endpointsOf(destination).forEach(endpoint -> control.onRetryAfter(nowUs, endpoint.id(), DAY_US));
         }
     }
 
@@ -93,17 +93,17 @@
 
     /** Tells that there is a whole list, as after a broken watch; the decisions look up what they need of it. */
     void tellWholeList() {
-        control.onList(nowUs, Courier.Update.WHOLE, List.of());
+        control.onListUpdate(nowUs, Courier.ListUpdate.FULL, List.of());
     }
 
     /** Tells one entry, as an ordinary change does. */
     void tellOneChange() {
-        control.onList(nowUs, Courier.Update.CHANGES, list.endpointsOf(0).subList(0, 1));
+        control.onListUpdate(nowUs, Courier.ListUpdate.INCREMENTAL, list.endpointsOf(0).subList(0, 1));
     }
 
     /** Counts the endpoints that get nothing, as the courier's figures do ten times a second. */
     int countAvoided() {
-        return control.avoided(nowUs);
+        return control.avoidedEndpoints(nowUs);
     }
 
     /** Reads how each endpoint stands, as a process does that hands over to another; the result counts the figures. */
@@ -111,7 +111,7 @@
         int figures = 0;
         for (int destination = 0; destination < destinations; destination++) {
             for (final Courier.Endpoint endpoint : list.endpointsOf(destination)) {
-                figures += control.standing(nowUs, endpoint.id()).figures().size();
+                figures += control.snapshot(nowUs, endpoint.id()).values().size();
             }
         }
         return figures;
@@ -134,12 +134,12 @@
                 couriers,
                 ListSample.zone(0),
                 false,
-                Courier.Weights.ROUGH,
-                Courier.Fade.LINEAR,
+                Courier.WeightMeaning.ROUGH,
+                Courier.ValueDecay.LINEAR,
                 List.of(notice),
                 List.of(),
-                List.of(new Courier.Kind(ListSample.KIND, false, 1)),
-                new Courier.Guarantees(10 * SECOND_US, 0.2, 13 * SECOND_US, 2.5, 0),
+                List.of(new Courier.DestinationKind(ListSample.KIND, false, 1)),
+                new Courier.RuleParameters(10 * SECOND_US, 0.2, 13 * SECOND_US, 2.5, 0),
                 new Courier.Limits(SLOTS, Integer.MAX_VALUE, 8, true, 15 * SECOND_US, 1, 3 * SECOND_US));
     }
 
@@ -178,12 +178,12 @@
         public void cancel(final String messageId, final int attempt) {}
 
         @Override
-        public void closeIdle(final long endpoint) {}
+        public void closeIdleConnections(final long endpoint) {}
 
         @Override
-        public void follow() {}
+        public void subscribeToList() {}
 
         @Override
-        public void wake(final long delayUs) {}
+        public void wakeAfter(final long delayUs) {}
     }
 }
--- a/src/test/java/railspar/ControlTest.java
+++ b/src/test/java/railspar/ControlTest.java
@@ -9,7 +9,7 @@
 
 import railspar.Courier.Condition;
 import railspar.Courier.Result;
-import railspar.Courier.Update;
+import railspar.Courier.ListUpdate;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -128,7 +128,7 @@
 
     @Test
     void aKeyedMessageIsSentAgainOnlyInsideItsKeysWindow() {
-        scene.list(Update.WHOLE, Scene.endpoint(1, DEST, "a"));
+        scene.list(ListUpdate.FULL, Scene.endpoint(1, DEST, "a"));
         scene.take("m", KEYED);
         final long first = scene.nowUs;
         scene.end("m", Result.ERROR);
@@ -150,16 +150,16 @@
     private static Courier.Settings brief(final Courier.Effect effect, final long deadlineUs, final long windowUs) {
         final Courier.Settings usual = Scene.settings();
         return new Courier.Settings(
-                usual.couriers(),
+                usual.courierCount(),
                 usual.zone(),
                 usual.listOnRequest(),
-                usual.weights(),
-                usual.fade(),
+                usual.weightMeaning(),
+                usual.valueDecay(),
                 List.of(new Courier.MessageClass(
                         "brief", effect, false, false, 1, 0, deadlineUs / 5, deadlineUs, windowUs)),
                 usual.tenants(),
-                usual.kinds(),
-                usual.guarantees(),
+                usual.destinationKinds(),
+                usual.ruleParameters(),
                 usual.limits());
     }
 
@@ -202,13 +202,13 @@
 
     @Test
     void nothingNewGoesToAnEndpointThatDrainsOrIsGone() {
-        scene.list(Update.CHANGES, Scene.in(Condition.DRAINING, 1));
+        scene.list(ListUpdate.INCREMENTAL, Scene.in(Condition.DRAINING, 1));
         for (int index = 0; index < 4; index++) {
             scene.take("m" + index, SAFE);
             outstanding().forEach(id -> scene.end(id, Result.DELIVERED));
         }
         assertTrue(scene.sent.stream().allMatch(sent -> sent.endpoint() == 2));
-        scene.list(Update.WHOLE, Scene.endpoint(3, DEST, "a"));
+        scene.list(ListUpdate.FULL, Scene.endpoint(3, DEST, "a"));
         final int before = scene.sent.size();
         scene.take("after", SAFE);
         assertEquals(3, scene.sent.get(before).endpoint(), "missing from a whole list is gone");
@@ -227,7 +227,7 @@
 
     @Test
     void aWaitToldBehindTheEndOfAnAttemptHoldsAllTheSame() {
-        scene.control.onWait(scene.nowUs, 1, 1500 * MS);
+        scene.control.onRetryAfter(scene.nowUs, 1, 1500 * MS);
         scene.take("m", SAFE);
         scene.pass(1499 * MS);
         assertEquals(0, scene.sent.size());
@@ -248,11 +248,11 @@
     @Test
     void aRouteThatIsGoneAndListedAgainStillHasItsWait() {
         final Scene apart = new Scene(Scene.settings(16, 1, true, false));
-        apart.list(Update.RESTORED, Scene.endpoint(1, DEST, "a"));
+        apart.list(ListUpdate.CACHED, Scene.endpoint(1, DEST, "a"));
         apart.take("m", SAFE);
         apart.end("m", Result.REFUSED, 5 * SECOND);
-        apart.list(Update.WHOLE);
-        apart.list(Update.WHOLE, Scene.endpoint(1, DEST, "a"));
+        apart.list(ListUpdate.FULL);
+        apart.list(ListUpdate.FULL, Scene.endpoint(1, DEST, "a"));
         apart.pass(4900 * MS);
         assertEquals(1, apart.count("m"));
         apart.pass(6 * SECOND);
@@ -331,7 +331,7 @@
     @Test
     void aSilentCallIsCalledOffWhenItsSlotIsWanted() {
         final Scene tight = new Scene(Scene.settings(1, 1, false, false));
-        tight.list(Update.RESTORED, Scene.endpoint(1, DEST, "a"), Scene.endpoint(9, 99, "a"));
+        tight.list(ListUpdate.CACHED, Scene.endpoint(1, DEST, "a"), Scene.endpoint(9, 99, "a"));
         tight.take("hung", UNSAFE);
         tight.control.onMessage(
                 tight.nowUs, new Courier.Message("other", SAFE, -1, null, tight.nowUs + 16 * SECOND, 99));
@@ -345,7 +345,7 @@
     /** Incident: idle connections were dropped on their way, and calls over them went silent everywhere. */
     @Test
     void idleConnectionsAreClosedBeforeUseWhereCallsOverThemGoSilent() {
-        scene.list(Update.WHOLE, Scene.endpoint(1, DEST, "a"));
+        scene.list(ListUpdate.FULL, Scene.endpoint(1, DEST, "a"));
         for (int round = 0; round < 12; round++) {
             scene.take("warm" + round, SAFE);
             outstanding().forEach(id -> scene.end(id, Result.DELIVERED));
@@ -367,12 +367,12 @@
     /** Days on fukuoka-main: bursts above the limit that answers report were refused, and the waits told cost more. */
     @Test
     void callsArePacedAtTheLimitThatAnswersReport() {
-        scene.list(Update.WHOLE, Scene.endpoint(1, DEST, "a"));
+        scene.list(ListUpdate.FULL, Scene.endpoint(1, DEST, "a"));
         scene.take("first", SAFE);
         scene.pass(10 * MS);
         scene.control.onOutcome(
                 scene.nowUs,
-                new Courier.Outcome("first", Result.DELIVERED, true, 1, 10 * MS, 0, new Courier.Allowance(0.9, 4)));
+                new Courier.Outcome("first", Result.DELIVERED, true, 1, 10 * MS, 0, new Courier.ReportedLimit(0.9, 4)));
         scene.pass(SECOND);
         List.of("a", "b", "c").forEach(id -> scene.take(id, SAFE));
         assertEquals(1, scene.count("a") + scene.count("b") + scene.count("c"), "one at once");
@@ -399,7 +399,7 @@
         final List<Scene> fleet = IntStream.range(0, 14)
                 .mapToObj(index -> new Scene(Scene.fleetOf(14), Scene.seed(index)))
                 .toList();
-        fleet.forEach(one -> one.list(Update.WHOLE, Scene.endpoint(1, DEST, "a")));
+        fleet.forEach(one -> one.list(ListUpdate.FULL, Scene.endpoint(1, DEST, "a")));
         double room = 0;
         int served = 0;
         int refused = 0;
@@ -431,14 +431,14 @@
         long calls = 0;
         for (int index = 0; index < 14; index++) {
             final Scene one = new Scene(Scene.fleetOf(14), Scene.seed(index));
-            one.list(Update.WHOLE, Scene.endpoint(1, DEST, "a"));
+            one.list(ListUpdate.FULL, Scene.endpoint(1, DEST, "a"));
             final long startUs = one.nowUs;
             IntStream.range(0, 39).forEach(job -> one.take("m" + job, SAFE));
             for (int tick = 0; tick < 100 * toS; tick++) {
                 one.pass(10 * MS);
                 for (final Scene.Sent send : List.copyOf(one.sent)) {
                     if (one.ended(send.id()) == 0) {
-                        one.control.onOutcome(one.nowUs, one.outcome(send.id(), new Courier.Allowance(left, 16)));
+                        one.control.onOutcome(one.nowUs, one.outcome(send.id(), new Courier.ReportedLimit(left, 16)));
                         one.control.decide(one.nowUs);
                     }
                 }
@@ -454,7 +454,7 @@
     @Test
     void aLimitThatHasRoomAgainIsUsedThoughCallsWereRefused() {
         final Scene one = new Scene(Scene.fleetOf(14));
-        one.list(Update.WHOLE, Scene.endpoint(1, DEST, "a"));
+        one.list(ListUpdate.FULL, Scene.endpoint(1, DEST, "a"));
         IntStream.range(0, 30).forEach(job -> one.take("m" + job, SAFE));
         one.pass(100 * MS);
         final Set<String> ended = new HashSet<>();
@@ -470,7 +470,7 @@
                             1,
                             10 * MS,
                             0,
-                            new Courier.Allowance(0.9, 22)));
+                            new Courier.ReportedLimit(0.9, 22)));
         }
         one.control.decide(one.nowUs);
         one.pass(SECOND);
@@ -480,7 +480,7 @@
             one.pass(10 * MS);
             for (final Scene.Sent send : List.copyOf(one.sent.subList(4, one.sent.size()))) {
                 if (ended.add(send.id())) {
-                    one.control.onOutcome(one.nowUs, one.outcome(send.id(), new Courier.Allowance(0.9, 22)));
+                    one.control.onOutcome(one.nowUs, one.outcome(send.id(), new Courier.ReportedLimit(0.9, 22)));
                     one.control.decide(one.nowUs);
                 }
             }
@@ -495,23 +495,23 @@
                 14,
                 "a",
                 false,
-                Courier.Weights.ROUGH,
-                Courier.Fade.LINEAR,
+                Courier.WeightMeaning.ROUGH,
+                Courier.ValueDecay.LINEAR,
                 Scene.settings().classes(),
                 List.of(),
-                Scene.settings().kinds(),
-                Scene.settings().guarantees(),
+                Scene.settings().destinationKinds(),
+                Scene.settings().ruleParameters(),
                 Scene.settings().limits()));
-        one.list(Update.WHOLE, Scene.endpoint(1, DEST, "a"));
+        one.list(ListUpdate.FULL, Scene.endpoint(1, DEST, "a"));
         for (final double limit : List.of(1e-6, -4.0, 30.0, 0.0, Double.NaN)) {
             one.take("m" + limit, SAFE);
             one.pass(2 * SECOND);
             assertEquals(1, one.count("m" + limit), "after another limit: " + limit);
-            one.control.onOutcome(one.nowUs, one.outcome("m" + limit, new Courier.Allowance(0.5, limit)));
+            one.control.onOutcome(one.nowUs, one.outcome("m" + limit, new Courier.ReportedLimit(0.5, limit)));
             one.control.decide(one.nowUs);
         }
         assertTrue(one.control.describe(DEST).contains("told 30.0"), one.control.describe(DEST));
-        one.list(Update.CHANGES, Scene.endpoint(1, DEST, "a"));
+        one.list(ListUpdate.INCREMENTAL, Scene.endpoint(1, DEST, "a"));
         assertTrue(one.control.describe(DEST).contains("told 30.0"), "what answers report is nearer");
     }
 
@@ -519,7 +519,7 @@
     @Test
     void aRefusedCallOfSeveralIsOneRefusalAndNoOutage() {
         final Scene shared = new Scene(Scene.settings(16, 10, false, false));
-        shared.list(Update.WHOLE, Scene.endpoint(1, DEST, "a"));
+        shared.list(ListUpdate.FULL, Scene.endpoint(1, DEST, "a"));
         final List<String> ids = List.of("a", "b", "c", "d", "e", "f", "g", "h", "i", "j");
         ids.forEach(id -> shared.take(id, SAFE));
         shared.pass(100 * MS);
@@ -537,7 +537,7 @@
     @Test
     void callsAreSharedOnTheRampAfterAnOutage() {
         final Scene shared = new Scene(Scene.settings(16, 5, false, false));
-        shared.list(Update.WHOLE, Scene.endpoint(1, DEST, "a"));
+        shared.list(ListUpdate.FULL, Scene.endpoint(1, DEST, "a"));
         shared.take("down", SAFE);
         for (int round = 0; round < 4; round++) {
             shared.end("down", Result.NO_CONNECTION);
@@ -558,7 +558,7 @@
     @Test
     void messagesThatMayNotBeRepeatedShareACallToo() {
         final Scene shared = new Scene(Scene.settings(16, 5, false, false));
-        shared.list(Update.WHOLE, Scene.endpoint(1, DEST, "a"));
+        shared.list(ListUpdate.FULL, Scene.endpoint(1, DEST, "a"));
         final List<String> ids = List.of("a", "b", "c", "d", "e", "f");
         ids.forEach(id -> shared.take(id, UNSAFE));
         final List<String> out = ids.stream().filter(id -> shared.count(id) > 0).toList();
@@ -573,7 +573,7 @@
     /** Days on fukuoka-main: one slow answer over a connection idle for a moment cost a handshake a call ever after. */
     @Test
     void oneFailureOverAConnectionJustUsedDoesNotMakeAllOthersSuspect() {
-        scene.list(Update.WHOLE, Scene.endpoint(1, DEST, "a"));
+        scene.list(ListUpdate.FULL, Scene.endpoint(1, DEST, "a"));
         scene.take("warm", SAFE);
         scene.end("warm", Result.DELIVERED);
         scene.pass(20 * MS);
@@ -607,7 +607,7 @@
     @Test
     void manyCouriersKeepConnectionsThatAreUsedAgainSoonWhileThereIsRoom() {
         final Scene many = new Scene(Scene.fleetOf(14));
-        many.list(Update.WHOLE, Scene.endpoint(1, DEST, "a"));
+        many.list(ListUpdate.FULL, Scene.endpoint(1, DEST, "a"));
         callEachSecond(many, "warm", 5);
         many.closed.clear();
         callEachSecond(many, "kept", 5);
@@ -633,7 +633,7 @@
     void aCallThatWeCalledOffDoesNotMakeIdleConnectionsSuspect() {
         final Scene two = new Scene(Scene.settings(2, 1, false, false));
         two.list(
-                Update.RESTORED,
+                ListUpdate.CACHED,
                 Scene.endpoint(1, DEST, "a"),
                 Scene.endpoint(2, DEST + 1, "a"),
                 Scene.endpoint(3, DEST + 2, "a"));
@@ -675,7 +675,7 @@
         final List<Scene> fleet = new ArrayList<>();
         for (int index = 0; index < couriers; index++) {
             final Scene one = new Scene(Scene.fleetOf(couriers), Scene.seed(index));
-            one.list(Update.RESTORED, Scene.endpoint(1, DEST, "a"), Scene.endpoint(2, DEST, "b"));
+            one.list(ListUpdate.CACHED, Scene.endpoint(1, DEST, "a"), Scene.endpoint(2, DEST, "b"));
             one.pass((long) (index / arrivals * SECOND));
             one.take("m" + index, SAFE, null, 60 * SECOND);
             fleet.add(one);
@@ -706,7 +706,7 @@
         final List<Long> returns = new ArrayList<>();
         for (int seed = 0; seed < 30; seed++) {
             final Scene one = new Scene(Scene.fleetOf(50), Scene.seed(seed));
-            one.list(Update.RESTORED, Scene.endpoint(1, DEST, "a"));
+            one.list(ListUpdate.CACHED, Scene.endpoint(1, DEST, "a"));
             one.take("m", SAFE);
             one.end("m", Result.REFUSED, 4 * SECOND);
             one.pass(3999 * MS);
@@ -793,7 +793,7 @@
         for (int index = 0; index < 5; index++) {
             shared.take("m" + index, SAFE);
         }
-        shared.list(Update.RESTORED, Scene.endpoint(1, DEST, "a"));
+        shared.list(ListUpdate.CACHED, Scene.endpoint(1, DEST, "a"));
         assertEquals(5, shared.sent.size());
     }
 
@@ -812,12 +812,12 @@
     @Test
     void theListIsFollowedOnceAndAgainWithBackOffAfterALoss() {
         final Scene asking = new Scene(Scene.settings(16, 1, false, true));
-        asking.list(Update.RESTORED, Scene.endpoint(1, DEST, "a"));
+        asking.list(ListUpdate.CACHED, Scene.endpoint(1, DEST, "a"));
         assertEquals(1, asking.follows);
-        asking.list(Update.CHANGES);
+        asking.list(ListUpdate.INCREMENTAL);
         asking.pass(30 * SECOND);
         assertEquals(1, asking.follows);
-        asking.list(Update.LOST);
+        asking.list(ListUpdate.UNAVAILABLE);
         assertEquals(1, asking.follows, "not at once");
         asking.pass(2 * SECOND);
         assertEquals(2, asking.follows);
@@ -887,8 +887,8 @@
         }
     }
 
-    private static void resume(final Scene scene, final String id, final int kind, final Courier.Past past) {
-        scene.control.onResumed(
+    private static void resume(final Scene scene, final String id, final int kind, final Courier.AttemptHistory past) {
+        scene.control.onMessageResumed(
                 scene.nowUs,
                 new Courier.Message(id, kind, -1, null, scene.nowUs + 16 * Scene.SECOND, Scene.DEST),
                 past);
@@ -898,13 +898,13 @@
     @Test
     void aResumedMessageKeepsWhatBecameOfItBefore() {
         final Scene scene = Scene.withTwoEndpoints(Scene.settings());
-        resume(scene, "safe", 0, new Courier.Past(1, true, scene.nowUs - Scene.SECOND, "a"));
+        resume(scene, "safe", 0, new Courier.AttemptHistory(1, true, scene.nowUs - Scene.SECOND, "a"));
         assertEquals(1, scene.count("safe"), "a safe one may go again");
-        resume(scene, "spent", 0, new Courier.Past(8, true, scene.nowUs - Scene.SECOND, "a"));
+        resume(scene, "spent", 0, new Courier.AttemptHistory(8, true, scene.nowUs - Scene.SECOND, "a"));
         assertEquals(0, scene.count("spent"), "its attempts are used up");
-        resume(scene, "forgotten", 1, new Courier.Past(1, true, scene.nowUs - 6 * Scene.SECOND, "a"));
+        resume(scene, "forgotten", 1, new Courier.AttemptHistory(1, true, scene.nowUs - 6 * Scene.SECOND, "a"));
         assertEquals(0, scene.count("forgotten"), "its key may be forgotten");
-        resume(scene, "unsafe", 2, new Courier.Past(1, true, scene.nowUs - Scene.SECOND, "a"));
+        resume(scene, "unsafe", 2, new Courier.AttemptHistory(1, true, scene.nowUs - Scene.SECOND, "a"));
         assertEquals(0, scene.count("unsafe"), "it may have run");
         assertEquals(List.of("unsafe"), scene.failed);
         assertEquals(List.of("spent", "forgotten"), scene.refused);
@@ -929,7 +929,7 @@
         final Scene next = Scene.withTwoEndpoints(settings);
         next.nowUs = before.nowUs;
         for (final long endpoint : new long[] {1, 2}) {
-            next.control.onStanding(next.nowUs, endpoint, before.control.standing(before.nowUs, endpoint));
+            next.control.onEndpointSnapshot(next.nowUs, endpoint, before.control.snapshot(before.nowUs, endpoint));
         }
         return next;
     }
@@ -972,10 +972,10 @@
     @Test
     void aCallThatIsOutElsewhereHoldsItsSlotAndItsKey() {
         final Scene scene = Scene.withTwoEndpoints(Scene.settings(1, 1, false, false));
-        scene.control.onResumed(
+        scene.control.onMessageResumed(
                 scene.nowUs,
                 resumed(scene, "m1", 3, "k"),
-                new Courier.Past(1, false, 0, "", new Courier.Out(1, scene.nowUs - Scene.MS)));
+                new Courier.AttemptHistory(1, false, 0, "", new Courier.InheritedCall(1, scene.nowUs - Scene.MS)));
         scene.take("m2", 3, "k", 16 * Scene.SECOND);
         scene.take("m3", 0);
         assertEquals(0, scene.sent.size(), "the only slot is taken");
@@ -989,13 +989,13 @@
     @Test
     void anUnsafeMessageThatWasCutOffElsewhereFailsAndASafeOneGoesAgain() {
         final Scene scene = Scene.withTwoEndpoints(Scene.settings());
-        final Courier.Past out = new Courier.Past(1, false, 0, "", new Courier.Out(1, scene.nowUs - Scene.MS));
-        scene.control.onResumed(scene.nowUs, resumed(scene, "safe", 0, null), out);
-        scene.control.onResumed(scene.nowUs, resumed(scene, "unsafe", 2, null), out);
+        final Courier.AttemptHistory out = new Courier.AttemptHistory(1, false, 0, "", new Courier.InheritedCall(1, scene.nowUs - Scene.MS));
+        scene.control.onMessageResumed(scene.nowUs, resumed(scene, "safe", 0, null), out);
+        scene.control.onMessageResumed(scene.nowUs, resumed(scene, "unsafe", 2, null), out);
         scene.control.decide(scene.nowUs);
         assertEquals(0, scene.sent.size());
-        scene.control.onCutOff(scene.nowUs, "safe");
-        scene.control.onCutOff(scene.nowUs, "unsafe");
+        scene.control.onAttemptInterrupted(scene.nowUs, "safe");
+        scene.control.onAttemptInterrupted(scene.nowUs, "unsafe");
         scene.control.decide(scene.nowUs);
         assertEquals(List.of("unsafe"), scene.failed);
         assertEquals(1, scene.count("safe"));
@@ -1007,27 +1007,27 @@
     @Test
     void whatIsTakenOutByHandGetsNothingWhateverTheListSays() {
         final Scene scene = Scene.withTwoEndpoints(Scene.settings());
-        scene.control.onHand(scene.nowUs, 1, true, 0);
-        scene.list(Courier.Update.WHOLE, Scene.endpoint(1, Scene.DEST, "a"), Scene.endpoint(2, Scene.DEST, "b"));
+        scene.control.onOperatorOverride(scene.nowUs, 1, true, 0);
+        scene.list(Courier.ListUpdate.FULL, Scene.endpoint(1, Scene.DEST, "a"), Scene.endpoint(2, Scene.DEST, "b"));
         for (int count = 0; count < 6; count++) {
             scene.take("m" + count, 0);
             scene.pass(Scene.SECOND);
             scene.end("m" + count, Courier.Result.DELIVERED);
         }
         assertTrue(scene.sent.stream().allMatch(sent -> sent.endpoint() == 2), scene.sent.toString());
-        assertEquals(1, scene.control.avoided(scene.nowUs));
+        assertEquals(1, scene.control.avoidedEndpoints(scene.nowUs));
         assertTrue(scene.closed.contains(1L), "what is open there ends with its restart");
     }
 
     @Test
     void aDestinationWithAllItsEndpointsOutWaitsUntilOneIsPutBack() {
         final Scene scene = Scene.withTwoEndpoints(Scene.settings());
-        scene.control.onHand(scene.nowUs, 1, true, 0);
-        scene.control.onHand(scene.nowUs, 2, true, 0);
+        scene.control.onOperatorOverride(scene.nowUs, 1, true, 0);
+        scene.control.onOperatorOverride(scene.nowUs, 2, true, 0);
         scene.take("m", 0);
         scene.pass(3 * Scene.SECOND);
         assertEquals(0, scene.sent.size());
-        scene.control.onHand(scene.nowUs, 2, false, scene.nowUs);
+        scene.control.onOperatorOverride(scene.nowUs, 2, false, scene.nowUs);
         scene.pass(Scene.SECOND);
         assertEquals(2, scene.last("m").endpoint());
     }
@@ -1035,11 +1035,11 @@
     @Test
     void whatIsPutBackIsColdAndPacedUntilItIsWarm() {
         final Scene scene = new Scene(Scene.told());
-        scene.list(Courier.Update.RESTORED, new Courier.Endpoint(1, Courier.Condition.LISTED, "a", 20, 0, Scene.DEST));
+        scene.list(Courier.ListUpdate.CACHED, new Courier.Endpoint(1, Courier.Condition.LISTED, "a", 20, 0, Scene.DEST));
         final int usual = sentIn(scene, "usual");
-        scene.control.onHand(scene.nowUs, 1, true, 0);
+        scene.control.onOperatorOverride(scene.nowUs, 1, true, 0);
         scene.pass(Scene.SECOND);
-        scene.control.onHand(scene.nowUs, 1, false, scene.nowUs);
+        scene.control.onOperatorOverride(scene.nowUs, 1, false, scene.nowUs);
         final int cold = sentIn(scene, "cold");
         // The tipping rate of a cold destination in these settings: 2 x 0.2 of its capacity, and chance.
         assertTrue(cold >= 1 && cold <= 0.7 * usual, cold + " of " + usual);
--- a/src/test/java/railspar/DeliveryRulesTest.java
+++ b/src/test/java/railspar/DeliveryRulesTest.java
@@ -6,7 +6,7 @@
 
 import railspar.Courier.Effect;
 import railspar.Courier.MessageClass;
-import railspar.Courier.Past;
+import railspar.Courier.AttemptHistory;
 import railspar.Courier.Result;
 import railspar.DeliveryRules.Attempt;
 import railspar.DeliveryRules.Transmission;
@@ -24,14 +24,14 @@
     private static final long FIRST_RUN_US = 5000;
     private static final long INSIDE_US = FIRST_RUN_US + WINDOW_US - 1;
     private static final long BEHIND_US = FIRST_RUN_US + WINDOW_US;
-    private static final Past FRESH = new Past(0, false, 0, "");
-    private static final Past RAN = new Past(1, true, FIRST_RUN_US, "a");
+    private static final AttemptHistory FRESH = new AttemptHistory(0, false, 0, "");
+    private static final AttemptHistory RAN = new AttemptHistory(1, true, FIRST_RUN_US, "a");
 
     private static MessageClass kind(final Effect effect, final boolean zoneKeyed) {
         return new MessageClass("kind", effect, zoneKeyed, false, 1, 1, 10_000, 20_000, WINDOW_US);
     }
 
-    private static Attempt attempt(final Effect effect, final Past past) {
+    private static Attempt attempt(final Effect effect, final AttemptHistory past) {
         return new Attempt(kind(effect, false), true, true, true, past, "a");
     }
 
@@ -53,7 +53,7 @@
     void anAttemptSurelyDidNotRunOnlyIfItsRequestSurelyWasNotSent(
             final Transmission request, final Result reason, final Result result) {
         assertEquals(result, DeliveryRules.resultOf(request, reason));
-        assertEquals(request == Transmission.NOT_SENT, result.neverRan());
+        assertEquals(request == Transmission.NOT_SENT, result.hadNoEffect());
     }
 
     @ParameterizedTest
--- a/src/test/java/railspar/FleetRampTest.java
+++ b/src/test/java/railspar/FleetRampTest.java
@@ -53,23 +53,23 @@
                 couriers,
                 "a",
                 false,
-                Courier.Weights.ROUGH,
-                Courier.Fade.LINEAR,
+                Courier.WeightMeaning.ROUGH,
+                Courier.ValueDecay.LINEAR,
                 List.of(
                         new Courier.MessageClass(
                                 "safe", Courier.Effect.SAFE, false, false, 1, 0, SECOND, 8 * SECOND, 0),
                         new Courier.MessageClass(
                                 "once", Courier.Effect.UNSAFE, false, false, 2, 0.4, 2 * SECOND, 28 * SECOND, 0)),
                 List.of(),
-                List.of(new Courier.Kind("std", false, 1)),
-                new Courier.Guarantees(10 * SECOND, COLD_FROM, COLD_US, TIP, 0),
+                List.of(new Courier.DestinationKind("std", false, 1)),
+                new Courier.RuleParameters(10 * SECOND, COLD_FROM, COLD_US, TIP, 0),
                 new Courier.Limits(8, 40, 8, true, 15 * SECOND, 1, 3 * SECOND));
     }
 
     private Scene begin(final int index, final int couriers, final long life, final double listed) {
         final Scene one = new Scene(settings(couriers), Scene.seed(index + 1000 * (int) life));
         one.list(
-                Courier.Update.WHOLE,
+                Courier.ListUpdate.FULL,
                 new Courier.Endpoint(1, Courier.Condition.LISTED, "a", listed, 0, Scene.DEST),
                 new Courier.Endpoint(2, Courier.Condition.LISTED, "a", listed, 0, Scene.DEST));
         return one;
--- a/src/test/java/railspar/LibraryUseTest.java
+++ b/src/test/java/railspar/LibraryUseTest.java
@@ -16,7 +16,7 @@
         final Courier.Actions actions = transport;
         final Courier control = new Control(Scene.settings(), 7, actions);
         final long nowUs = transport.nowUs;
-        control.onList(nowUs, Courier.Update.WHOLE, List.of(Scene.endpoint(1, Scene.DEST, "a")));
+        control.onListUpdate(nowUs, Courier.ListUpdate.FULL, List.of(Scene.endpoint(1, Scene.DEST, "a")));
         control.onMessage(nowUs, new Courier.Message("m", 0, -1, null, nowUs + 16 * Scene.SECOND, Scene.DEST));
         control.decide(nowUs);
         assertEquals(1, transport.count("m"));
--- a/src/test/java/railspar/Scene.java
+++ b/src/test/java/railspar/Scene.java
@@ -50,7 +50,7 @@
     /** Two endpoints of one destination, listed from the start. */
     static Scene withTwoEndpoints(final Courier.Settings settings) {
         final Scene scene = new Scene(settings);
-        scene.list(Courier.Update.RESTORED, endpoint(1, DEST, "a"), endpoint(2, DEST, "b"));
+        scene.list(Courier.ListUpdate.CACHED, endpoint(1, DEST, "a"), endpoint(2, DEST, "b"));
         return scene;
     }
 
@@ -70,7 +70,7 @@
                 kind("unsafe", Courier.Effect.UNSAFE, false, false, 1),
                 kind("turn", Courier.Effect.SAFE, false, true, 1),
                 kind("zoned", Courier.Effect.KEYED, true, false, 1));
-        return settings(slots, perCall, apart, ask, Courier.Weights.NONE, classes);
+        return settings(slots, perCall, apart, ask, Courier.WeightMeaning.NONE, classes);
     }
 
     private static Courier.Settings settings(
@@ -78,24 +78,24 @@
             final int perCall,
             final boolean apart,
             final boolean ask,
-            final Courier.Weights weights,
+            final Courier.WeightMeaning weights,
             final List<Courier.MessageClass> classes) {
         return new Courier.Settings(
                 2,
                 "a",
                 ask,
                 weights,
-                Courier.Fade.LINEAR,
+                Courier.ValueDecay.LINEAR,
                 classes,
                 List.of(),
-                List.of(new Courier.Kind("std", apart, perCall)),
-                new Courier.Guarantees(10 * SECOND, 0.2, 10 * SECOND, 2, 3 * SECOND),
+                List.of(new Courier.DestinationKind("std", apart, perCall)),
+                new Courier.RuleParameters(10 * SECOND, 0.2, 10 * SECOND, 2, 3 * SECOND),
                 new Courier.Limits(slots, 40, 8, true, 10 * SECOND, 1, 2 * SECOND));
     }
 
     /** As {@link #settings()}, with the limit told exactly. */
     static Courier.Settings told() {
-        return settings(16, 1, false, false, Courier.Weights.NOMINAL, settings().classes());
+        return settings(16, 1, false, false, Courier.WeightMeaning.NOMINAL, settings().classes());
     }
 
     static Courier.Settings settings() {
@@ -104,12 +104,12 @@
 
     /** As {@link #settings()}, with room for so many messages. */
     static Courier.Settings roomFor(final int messages) {
-        return settings(settings().couriers(), messages);
+        return settings(settings().courierCount(), messages);
     }
 
     /** As {@link #settings()}, in a fleet of so many couriers. */
     static Courier.Settings fleetOf(final int couriers) {
-        return settings(couriers, settings().limits().maxOpen());
+        return settings(couriers, settings().limits().maxOpenMessages());
     }
 
     private static Courier.Settings settings(final int couriers, final int maxOpen) {
@@ -119,19 +119,19 @@
                 couriers,
                 few.zone(),
                 few.listOnRequest(),
-                few.weights(),
-                few.fade(),
+                few.weightMeaning(),
+                few.valueDecay(),
                 few.classes(),
                 few.tenants(),
-                few.kinds(),
-                few.guarantees(),
+                few.destinationKinds(),
+                few.ruleParameters(),
                 new Courier.Limits(
-                        limits.slots(),
+                        limits.maxCallsInFlight(),
                         maxOpen,
-                        limits.mostAttempts(),
-                        limits.mayCancel(),
-                        limits.idleCloseUs(),
-                        limits.multiplex(),
+                        limits.maxAttempts(),
+                        limits.canCancel(),
+                        limits.idleTimeoutUs(),
+                        limits.streamsPerConnection(),
                         limits.maxRetryAfterUs()));
     }
 
@@ -145,8 +145,8 @@
                 name, effect, zoneKeyed, inTurn, worth, 0.5, 2 * SECOND, 16 * SECOND, 6 * SECOND);
     }
 
-    void list(final Courier.Update update, final Courier.Endpoint... entries) {
-        control.onList(nowUs, update, List.of(entries));
+    void list(final Courier.ListUpdate update, final Courier.Endpoint... entries) {
+        control.onListUpdate(nowUs, update, List.of(entries));
         control.decide(nowUs);
     }
 
@@ -192,7 +192,7 @@
     }
 
     /** The last attempt of a message is delivered, with a report of the limit. */
-    Courier.Outcome outcome(final String id, final Courier.Allowance allowance) {
+    Courier.Outcome outcome(final String id, final Courier.ReportedLimit allowance) {
         final Sent last = last(id);
         outcomes.merge(id, 1, Integer::sum);
         return new Courier.Outcome(
@@ -253,17 +253,17 @@
     }
 
     @Override
-    public void closeIdle(final long endpoint) {
+    public void closeIdleConnections(final long endpoint) {
         closed.add(endpoint);
     }
 
     @Override
-    public void follow() {
+    public void subscribeToList() {
         follows++;
     }
 
     @Override
-    public void wake(final long delayUs) {
+    public void wakeAfter(final long delayUs) {
         reminders.add(nowUs + delayUs);
     }
 }
--- a/src/test/java/railspar/bench/AdapterTest.java
+++ b/src/test/java/railspar/bench/AdapterTest.java
@@ -136,12 +136,12 @@
                         + "extra.per_call=1,5\textra.fades=halving\tweights=rough\tdiscovery=on_request\t"
                         + "tenants.count=1\ttenants.0.name=12\ttenants.0.quota_rps=14.0",
                 1));
-        assertEquals("a_b", settings.kinds().get(0).name());
-        assertTrue(settings.kinds().get(1).routesApart());
-        assertEquals(5, settings.kinds().get(1).messagesPerCall());
+        assertEquals("a_b", settings.destinationKinds().get(0).name());
+        assertTrue(settings.destinationKinds().get(1).separateRoutes());
+        assertEquals(5, settings.destinationKinds().get(1).messagesPerCall());
         assertTrue(settings.listOnRequest());
         assertEquals("12", settings.tenants().get(0).name());
-        assertEquals(Integer.MAX_VALUE, settings.limits().slots());
-        assertEquals(0, settings.guarantees().orderSettleUs());
+        assertEquals(Integer.MAX_VALUE, settings.limits().maxCallsInFlight());
+        assertEquals(0, settings.ruleParameters().orderingDelayUs());
     }
 }
--- a/src/test/java/railspar/node/JournalTest.java
+++ b/src/test/java/railspar/node/JournalTest.java
@@ -58,12 +58,12 @@
         assertEquals("k", sent.idempotencyKey);
         assertEquals("team-1", sent.orderKey, "its order outlasts the process");
         final Clock clock = new Clock();
-        final Courier.Past past = sent.past(clock);
+        final Courier.AttemptHistory past = sent.past(clock);
         assertEquals(2, past.attempts());
-        assertTrue(past.mayHaveRun(), "the attempt that was out may have run");
-        assertEquals("b", past.runZone());
+        assertTrue(past.mayHaveTakenEffect(), "the attempt that was out may have run");
+        assertEquals("b", past.effectZone());
         assertEquals(
-                2000, clock.toPersistentUs(past.firstRunUs()), 50_000, "the refused attempt before does not count");
+                2000, clock.toPersistentUs(past.firstEffectUs()), 50_000, "the refused attempt before does not count");
         assertEquals(new Held.Notice(false, 700), live.get(1).notice());
     }
 
--- a/src/test/java/railspar/node/SettingsApartTest.java
+++ b/src/test/java/railspar/node/SettingsApartTest.java
@@ -62,30 +62,30 @@
         final Courier.Settings settings = plain.settings();
         final Courier.MessageClass lab = settings.classes().get(0);
         assertEquals(Courier.Effect.UNSAFE, lab.effect(), "an effect that is not told may be the worst one");
-        assertFalse(lab.inTurn());
-        assertFalse(lab.zoneKeyed());
-        assertEquals(0, lab.keyWindowUs(), "no window, no repeat");
-        assertEquals(1, lab.worth());
-        assertEquals(0, lab.lateWorth());
-        assertEquals(lab.deadlineUs(), lab.aimUs(), "no aim but the deadline");
-        assertEquals(1, settings.couriers());
+        assertFalse(lab.ordered());
+        assertFalse(lab.deduplicatedPerZone());
+        assertEquals(0, lab.dedupWindowUs(), "no window, no repeat");
+        assertEquals(1, lab.value());
+        assertEquals(0, lab.lateValue());
+        assertEquals(lab.deadlineUs(), lab.targetUs(), "no aim but the deadline");
+        assertEquals(1, settings.courierCount());
         assertEquals("", settings.zone());
-        assertEquals(Courier.Weights.NONE, settings.weights());
-        assertEquals(Courier.Fade.LINEAR, settings.fade());
+        assertEquals(Courier.WeightMeaning.NONE, settings.weightMeaning());
+        assertEquals(Courier.ValueDecay.LINEAR, settings.valueDecay());
         assertEquals(List.of(), settings.tenants());
-        assertEquals(List.of(), settings.kinds());
-        assertEquals(0, settings.guarantees().orderSettleUs(), "an optional rule that is not there");
-        assertEquals(1, settings.limits().multiplex());
-        assertFalse(settings.limits().mayCancel(), "nothing is allowed that is not told");
+        assertEquals(List.of(), settings.destinationKinds());
+        assertEquals(0, settings.ruleParameters().orderingDelayUs(), "an optional rule that is not there");
+        assertEquals(1, settings.limits().streamsPerConnection());
+        assertFalse(settings.limits().canCancel(), "nothing is allowed that is not told");
         assertEquals(0, settings.limits().maxRetryAfterUs());
         assertEquals(1_000_000, plain.connectTimeoutUs());
         assertEquals(1024, plain.sockets());
         assertNull(plain.mgmt());
         final Courier.Limits limits = settings.limits();
         assertTrue(
-                limits.slots() > 1_000_000 && limits.maxOpen() > 1_000_000 && limits.mostAttempts() > 1_000_000,
+                limits.maxCallsInFlight() > 1_000_000 && limits.maxOpenMessages() > 1_000_000 && limits.maxAttempts() > 1_000_000,
                 "no limit is told: " + limits);
-        assertNotEquals(rich.limits().idleCloseUs(), limits.idleCloseUs());
+        assertNotEquals(rich.limits().idleTimeoutUs(), limits.idleTimeoutUs());
     }
 
     @Test
@@ -114,8 +114,8 @@
         final Host clinics = new Host(config(CLINICS, "c"), loop, clock);
         assertNull(clinics.kind("tide-warning"));
         assertNull(harbour.kind("lab-result"));
-        assertTrue(harbour.kind("shared-name").inTurn());
-        assertFalse(clinics.kind("shared-name").inTurn());
+        assertTrue(harbour.kind("shared-name").ordered());
+        assertFalse(clinics.kind("shared-name").ordered());
         assertEquals(Courier.Effect.SAFE, clinics.kind("shared-name").effect());
         assertFalse(clinics.figures().text().contains("tide-warning"));
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
@@ -148,30 +148,30 @@
         }
 
         @Override
-        public void closeIdle(final long endpoint) {
+        public void closeIdleConnections(final long endpoint) {
             sent.add("closed " + endpoint);
         }
 
         @Override
-        public void follow() {
+        public void subscribeToList() {
             sent.add("follow");
         }
 
         @Override
-        public void wake(final long delayUs) {
+        public void wakeAfter(final long delayUs) {
             assertTrue(delayUs > 0);
         }
     }
 
     /** One message to a listed endpoint, and what was asked for. */
     private static Asked play(final Control control, final Asked asked, final Courier.MessageClass kind) {
-        control.onList(
+        control.onListUpdate(
                 1_000_000,
-                Courier.Update.WHOLE,
+                Courier.ListUpdate.FULL,
                 List.of(new Courier.Endpoint(1, Courier.Condition.LISTED, "", 0, -1, 7)));
         control.onMessage(
                 1_000_000,
-                new Courier.Message("m", 1, -1, kind.inTurn() ? "key" : null, 1_000_000 + kind.deadlineUs(), 7));
+                new Courier.Message("m", 1, -1, kind.ordered() ? "key" : null, 1_000_000 + kind.deadlineUs(), 7));
         control.decide(1_000_000);
         return asked;
     }
--- a/src/test/java/railspar/node/StoredListCrossingsTest.java
+++ b/src/test/java/railspar/node/StoredListCrossingsTest.java
@@ -156,7 +156,7 @@
         assertTrue(whole.length() > 1 << 22, whole.length() + " bytes");
         agent(whole);
         rig.start();
-        awaitLog("the list at 42: WHOLE, 34001 entries, 1 gone");
+        awaitLog("the list at 42: FULL, 34001 entries, 1 gone");
         assertEquals(202, rig.handIn("m1", "safe").status());
         rig.await("the call", () -> rig.second.requests.size() == 1);
         assertEquals(1, asked.size());
