--- a/src/main/java/railspar/Control.java
+++ b/src/main/java/railspar/Control.java
@@ -1,6 +1,6 @@
 package railspar;
 
-import railspar.LaneState.Phase;
+import railspar.RouteState.Phase;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -20,7 +20,7 @@
  * Every decision of one courier; its interface is {@code Courier.java}. How it decides, from the top:
  * <ol>
  * <li>A message waits here until its destination lets it go; one attempt at a time, ended once and in time.
- * <li>Each destination (each route, where routes are apart) is a {@link Lane}: a window on calls in flight.
+ * <li>Each destination (each route, where routes are apart) is a {@link Route}: a window on calls in flight.
  * <li>Once a second the paper's Table I moves the window from latency and refusals ({@link #step}).
  * <li>Of the messages that may go, the one that loses most by waiting goes first ({@link #urgency}), to the
  * endpoint with least of ours in flight, recent trouble, handshakes and zones to cross ({@link #choose}).
@@ -165,7 +165,7 @@
     /** How soon a message that an endpoint or a key holds back is looked at again, us. */
     private static final long POLL_US = 20_000;
 
-    private static final long NEVER = LaneState.NEVER;
+    private static final long NEVER = RouteState.NEVER;
     private static final long UNKNOWN = Long.MIN_VALUE;
 
     private final Settings settings;
@@ -175,12 +175,12 @@
     private final Random random;
     private final DestinationTable destinations;
     /** Lanes of which some endpoint may get nothing now. */
-    private final Set<Lane> troubled = new LinkedHashSet<>();
+    private final Set<Route> troubled = new LinkedHashSet<>();
     /** Destinations with messages: all that a decision looks at, however long the list is. */
-    private final Map<Long, Destination> busy = new TreeMap<>();
+    private final Map<Long, DestinationState> busy = new TreeMap<>();
 
-    private final Map<String, Job> jobs = new LinkedHashMap<>();
-    private final Map<String, KeyLine> keys = new LinkedHashMap<>();
+    private final Map<String, MessageState> jobs = new LinkedHashMap<>();
+    private final Map<String, KeyQueue> keys = new LinkedHashMap<>();
     private final double[] classMeanUs;
     private final int[] classSamples;
     private final long[] quotaUs;
@@ -223,16 +223,16 @@
     @Override
     public void onMessage(final long now, final Message message) {
         nowUs = now;
-        final Job job = new Job(message, settings.classes().get(message.messageClass()));
+        final MessageState job = new MessageState(message, settings.classes().get(message.messageClass()));
         jobs.put(message.id(), job);
         open++;
         job.overQuota = overQuota(message.tenant());
-        job.destination = destinations.active(message.destination());
+        job.destination = destinations.activate(message.destination());
         job.destination.enqueue(job);
-        job.destination.jobs++;
+        job.destination.openMessages++;
         busy.put(message.destination(), job.destination);
         if (job.kind.ordered() && message.key() != null) {
-            job.line = keys.computeIfAbsent(message.key(), key -> new KeyLine());
+            job.line = keys.computeIfAbsent(message.key(), key -> new KeyQueue());
             job.line.ids.add(message.id());
         }
     }
@@ -240,7 +240,7 @@
     @Override
     public void onNoticePending(final long now, final String messageId, final String key) {
         nowUs = now;
-        final KeyLine line = keys.computeIfAbsent(key, unused -> new KeyLine());
+        final KeyQueue line = keys.computeIfAbsent(key, unused -> new KeyQueue());
         line.owed.add(messageId);
         if (!line.ids.contains(messageId)) {
             line.ids.add(messageId);
@@ -250,7 +250,7 @@
     @Override
     public void onNoticeAnswered(final long now, final String messageId, final String key) {
         nowUs = now;
-        final KeyLine line = keys.get(key);
+        final KeyQueue line = keys.get(key);
         if (line != null && line.owed.remove(messageId)) {
             line.ids.remove(messageId);
         }
@@ -259,7 +259,7 @@
     @Override
     public void onMessageResumed(final long now, final Message message, final AttemptHistory past) {
         onMessage(now, message);
-        final Job job = jobs.get(message.id());
+        final MessageState job = jobs.get(message.id());
         job.attempts = past.attempts();
         job.mayHaveRun = past.mayHaveTakenEffect();
         if (job.mayHaveRun) {
@@ -269,17 +269,17 @@
                 job.line.restUntilUs = nowUs + guarantees.orderingDelayUs();
             }
         }
-        final Node node =
-                past.inheritedCall() == null ? null : destinations.node(past.inheritedCall().endpoint());
+        final EndpointState node =
+                past.inheritedCall() == null ? null : destinations.endpointState(past.inheritedCall().endpoint());
         if (node != null) {
             goesOn(job, node, past.inheritedCall().sentUs());
         }
     }
 
     /** A call of the process before this one holds slot and place; messages sent at once share one. */
-    private void goesOn(final Job job, final Node node, final long sentUs) {
-        final int most = node.lane.kind.messagesPerCall();
-        final Call call = node.lane.calls.stream()
+    private void goesOn(final MessageState job, final EndpointState node, final long sentUs) {
+        final int most = node.route.destinationKind.messagesPerCall();
+        final Call call = node.route.calls.stream()
                 .filter(one -> one.node == node && one.sentUs == sentUs && one.messages < most)
                 .findFirst()
                 .orElseGet(Call::new);
@@ -287,17 +287,17 @@
             call.node = node;
             call.sentUs = sentUs;
             callsOut++;
-            node.inFlight++;
-            node.lane.calls.add(call);
+            node.callsInFlight++;
+            node.route.calls.add(call);
         }
-        call.carry(job, (long) expectedUs(node.lane, job));
+        call.carry(job, (long) expectedUs(node.route, job));
         job.destination.dequeue(job);
     }
 
     @Override
     public void onAttemptInterrupted(final long now, final String messageId) {
         nowUs = now;
-        final Job job = jobs.get(messageId);
+        final MessageState job = jobs.get(messageId);
         if (job != null && job.call != null) {
             settle(job, Result.CANCELLED);
             goOn(job, false);
@@ -308,9 +308,9 @@
     public EndpointSnapshot snapshot(final long now, final long endpoint) {
         final Map<String, Double> figures = new TreeMap<>();
         final Map<String, Long> times = new TreeMap<>();
-        final Node node = destinations.nodeWithState(endpoint);
+        final EndpointState node = destinations.existingEndpointState(endpoint);
         if (node != null) {
-            final Lane lane = node.lane;
+            final Route lane = node.route;
             lane.writeTo(figures, times);
             for (int kind = 0; kind < classMeanUs.length; kind++) {
                 figures.put("mean." + kind, classMeanUs[kind]);
@@ -326,12 +326,12 @@
     @Override
     public void onEndpointSnapshot(final long now, final long endpoint, final EndpointSnapshot standing) {
         nowUs = now;
-        final Node node = standing.values().isEmpty() ? null : destinations.node(endpoint);
+        final EndpointState node = standing.values().isEmpty() ? null : destinations.endpointState(endpoint);
         if (node == null) {
             return;
         }
         final Map<String, Long> times = standing.timesUs();
-        final Lane lane = node.lane;
+        final Route lane = node.route;
         lane.readFrom(standing.values(), times);
         for (int kind = 0; kind < classMeanUs.length; kind++) {
             classMeanUs[kind] = standing.values().getOrDefault("mean." + kind, classMeanUs[kind]);
@@ -352,7 +352,7 @@
     @Override
     public void onOutcome(final long now, final Outcome outcome) {
         nowUs = now;
-        final Job job = jobs.get(outcome.messageId());
+        final MessageState job = jobs.get(outcome.messageId());
         if (job == null || job.call == null) {
             return;
         }
@@ -364,15 +364,15 @@
     @Override
     public void onRetryAfter(final long now, final long endpoint, final long waitUs) {
         nowUs = now;
-        Optional.ofNullable(destinations.node(endpoint)).ifPresent(node -> wait(node.lane, waitUs));
+        Optional.ofNullable(destinations.endpointState(endpoint)).ifPresent(node -> wait(node.route, waitUs));
     }
 
-    private void wait(final Lane lane, final long waitUs) {
-        lane.waitUntilUs = Math.max(lane.waitUntilUs, nowUs + waitUs);
+    private void wait(final Route lane, final long waitUs) {
+        lane.retryAfterUntilUs = Math.max(lane.retryAfterUntilUs, nowUs + waitUs);
     }
 
     /** With no attempt out: a message that is over ends, another waits for its next turn. */
-    private void goOn(final Job job, final boolean over) {
+    private void goOn(final MessageState job, final boolean over) {
         if (over || job.over) {
             end(job);
         } else {
@@ -381,9 +381,9 @@
     }
 
     /** An attempt is out no more: what that says of the message, and what it frees. */
-    private Call settle(final Job job, final Result result) {
+    private Call settle(final MessageState job, final Result result) {
         final Call call = job.call;
-        final Node node = call.node;
+        final EndpointState node = call.node;
         job.call = null;
         if (!result.hadNoEffect()) {
             job.mayHaveRun = true;
@@ -395,8 +395,8 @@
         }
         if (--call.messages == 0) {
             callsOut--;
-            node.inFlight--;
-            node.lane.calls.remove(call);
+            node.callsInFlight--;
+            node.route.calls.remove(call);
             node.lastUseUs = nowUs;
             shareConnections(node, call);
         }
@@ -430,10 +430,10 @@
     @Override
     public String describe(final long id) {
         final StringBuilder text = new StringBuilder("slots ").append(callsOut + "/" + limits.maxCallsInFlight());
-        final Destination destination = destinations.get(id);
+        final DestinationState destination = destinations.get(id);
         if (destination != null) {
             text.append(", waiting ").append(destination.waiting.size());
-            destination.lanes.forEach(lane -> text.append("; " + lane.kind.name() + " ")
+            destination.routes.forEach(lane -> text.append("; " + lane.destinationKind.name() + " ")
                     .append(lane.describe(lane.calls.size() + "/" + cap(lane), nowUs)));
         }
         return text.toString();
@@ -442,8 +442,8 @@
     @Override
     public int avoidedEndpoints(final long now) {
         int count = 0;
-        for (final Lane lane : List.copyOf(troubled)) {
-            final long avoided = lane.nodes.stream()
+        for (final Route lane : List.copyOf(troubled)) {
+            final long avoided = lane.endpoints.stream()
                     .filter(node -> node.condition != Condition.GONE && isAvoided(node, now))
                     .count();
             count += (int) avoided;
@@ -459,9 +459,9 @@
         return destinations.workload();
     }
 
-    private static boolean isAvoided(final Node node, final long now) {
+    private static boolean isAvoided(final EndpointState node, final long now) {
         return node.out
-                || node.lane.phase == Phase.OUT
+                || node.route.phase == Phase.PROBING
                 || Arrays.stream(node.avoidUntilUs).allMatch(untilUs -> untilUs > now);
     }
 
@@ -469,13 +469,13 @@
 
     /** Sends, best first, until no slot is free or no message may go; a send changes its destination only. */
     private void dispatch() {
-        final Map<Destination, Job> candidates = new LinkedHashMap<>();
+        final Map<DestinationState, MessageState> candidates = new LinkedHashMap<>();
         while (callsOut < limits.maxCallsInFlight()) {
             if (candidates.isEmpty()) {
                 busy.values().forEach(destination -> candidates.put(destination, best(destination, true)));
             }
-            Job best = null;
-            for (final Job job : candidates.values()) {
+            MessageState best = null;
+            for (final MessageState job : candidates.values()) {
                 best = job != null && (best == null || job.urgency > best.urgency) ? job : best;
             }
             if (best == null) {
@@ -487,57 +487,57 @@
     }
 
     /** The most urgent of a destination's messages that may go (with trials or without), or null. */
-    private Job best(final Destination destination, final boolean trials) {
-        Job best = null;
-        for (final Lane lane : destination.lanes) {
-            final boolean open = openAtUs(lane) <= nowUs && (trials || lane.phase == Phase.WELL);
-            destinations.messagesVisited(open ? destination.waiting.size() : 0);
-            final Job job = open ? pick(destination, lane, null) : null;
+    private MessageState best(final DestinationState destination, final boolean trials) {
+        MessageState best = null;
+        for (final Route lane : destination.routes) {
+            final boolean open = openAtUs(lane) <= nowUs && (trials || lane.phase == Phase.HEALTHY);
+            destinations.countExaminedMessages(open ? destination.waiting.size() : 0);
+            final MessageState job = open ? pick(destination, lane, null) : null;
             best = job != null && (best == null || job.urgency > best.urgency) ? job : best;
         }
         return best;
     }
 
     /** When a lane's waits, guards and exact limit let a call go; never, while its window is full. */
-    private long openAtUs(final Lane lane) {
+    private long openAtUs(final Route lane) {
         if (lane.calls.size() >= cap(lane)) {
             return NEVER;
         }
-        final boolean exact = (settings.weightMeaning() == WeightMeaning.NOMINAL || lane.reported) && lane.told > 0;
-        final double rate = exact ? Math.min(part(lane), lane.spacing) : lane.spacing;
-        final double rampShare = tippingShare(nowUs - lane.rampFromUs);
+        final boolean exact = (settings.weightMeaning() == WeightMeaning.NOMINAL || lane.limitReported) && lane.limitPerSecond > 0;
+        final double rate = exact ? Math.min(part(lane), lane.sendsPerSecond) : lane.sendsPerSecond;
+        final double rampShare = tippingShare(nowUs - lane.slowStartSinceUs);
         final long guardUs =
                 switch (lane.phase) {
-                    case WELL -> lane.lastSendUs + (long) (SECOND_US / rate);
-                    case OUT -> lane.calls.isEmpty() ? lane.nextTrialUs : NEVER;
-                    case RAMP -> lane.lastSendUs + (long) (lane.rampSpanUs / rampShare);
+                    case HEALTHY -> lane.lastSendUs + (long) (SECOND_US / rate);
+                    case PROBING -> lane.calls.isEmpty() ? lane.nextProbeUs : NEVER;
+                    case SLOW_START -> lane.lastSendUs + (long) (lane.slowStartIntervalUs / rampShare);
                 };
-        return Math.max(guardUs, Math.max(lane.waitUntilUs, lane.pauseUntilUs));
+        return Math.max(guardUs, Math.max(lane.retryAfterUntilUs, lane.backoffUntilUs));
     }
 
     /**
      * This courier's part of a told limit, a second: its even part, less a little, so that a limit that
      * refused calls use up as well recovers; and more, the more of it was left or may be again by now.
      */
-    private double part(final Lane lane) {
+    private double part(final Route lane) {
         final double refilled = REFILL / settings.courierCount() * (nowUs - lane.leftAtUs) / SECOND_US;
         final double more = PART_GROWTH * Math.pow(Math.min(1, lane.left + refilled), PART_POWER);
-        return lane.told * Math.min(1, (PART_LEAST + more) / settings.courierCount());
+        return lane.limitPerSecond * Math.min(1, (PART_LEAST + more) / settings.courierCount());
     }
 
     /** Calls that a lane may have in flight now: its window, within its share of the slots. */
-    private int cap(final Lane lane) {
-        final double share = lane.phase == Phase.WELL && !lane.slow ? HEALTHY_SHARE : SICK_SHARE;
+    private int cap(final Route lane) {
+        final double share = lane.phase == Phase.HEALTHY && !lane.degraded ? HEALTHY_SHARE : SICK_SHARE;
         return (int) Math.max(1, Math.floor(Math.min(lane.window, share * limits.maxCallsInFlight())));
     }
 
     /** The most urgent message for a lane (a node, if given); trials risk first what is lost anyway. */
-    private Job pick(final Destination destination, final Lane lane, final Node node) {
-        Job best = null;
+    private MessageState pick(final DestinationState destination, final Route lane, final EndpointState node) {
+        MessageState best = null;
         int bestRisk = 0;
         double bestUrgency = 0;
         final long lineUs = destination.lineUs();
-        for (final Job job : destination.waiting) {
+        for (final MessageState job : destination.waiting) {
             if (!inTurn(job)
                     || !endsInTime(lane, job)
                     || node == null && choose(lane, job) == null
@@ -545,7 +545,7 @@
                 continue;
             }
             final double urgency = urgency(lane, job, lineUs);
-            final int risk = lane.phase != Phase.OUT || job.mayHaveRun
+            final int risk = lane.phase != Phase.PROBING || job.mayHaveRun
                     ? 0
                     : 1 + job.kind.effect().ordinal();
             if (best == null || risk < bestRisk || risk == bestRisk && urgency > bestUrgency) {
@@ -561,7 +561,7 @@
     }
 
     /** What a message loses by waiting for as long as its destination's line takes. */
-    private double urgency(final Lane lane, final Job job, final long lineUs) {
+    private double urgency(final Route lane, final MessageState job, final long lineUs) {
         final long horizonUs = (long) clamp(lineUs, HORIZON_LEAST_US, HORIZON_MOST_US);
         final long doneUs = nowUs + (long) expectedUs(lane, job);
         final double kept = KEPT / (1 + (double) horizonUs / HORIZON_MOST_US);
@@ -569,7 +569,7 @@
     }
 
     /** The worth of a message delivered at a given time; a key's window ends it like the deadline does. */
-    private double worth(final Job job, final long atUs) {
+    private double worth(final MessageState job, final long atUs) {
         final MessageClass kind = job.kind;
         if (atUs >= job.keyEndUs()) {
             return 0;
@@ -585,23 +585,23 @@
     }
 
     /** The best endpoint of a lane for a message now, or null. */
-    private Node choose(final Lane lane, final Job job) {
-        Node best = null;
+    private EndpointState choose(final Route lane, final MessageState job) {
+        EndpointState best = null;
         double bestLoad = 0;
         final int kind = job.message.messageClass();
-        for (final Node node : lane.nodes) {
+        for (final EndpointState node : lane.endpoints) {
             if (node.condition != Condition.LISTED
                     || node.out
                     || coldUntilUs(node) > nowUs
                     || !zoneAllows(job, node)
-                    || lane.phase == Phase.WELL && nowUs < node.avoidUntilUs[kind]) {
+                    || lane.phase == Phase.HEALTHY && nowUs < node.avoidUntilUs[kind]) {
                 continue;
             }
-            final boolean handshake = node.inFlight >= node.connections * limits.streamsPerConnection()
-                    || node.inFlight == 0 && nowUs - node.lastUseUs >= limits.idleTimeoutUs();
+            final boolean handshake = node.callsInFlight >= node.connections * limits.streamsPerConnection()
+                    || node.callsInFlight == 0 && nowUs - node.lastUseUs >= limits.idleTimeoutUs();
             final boolean cross = !node.entry.zone().equals(settings.zone());
-            final double near = node.inFlight + node.badRun[kind] + (handshake ? HANDSHAKE_LOAD : 0);
-            final double load = lane.phase == Phase.OUT ? node.lastSendUs : near + (cross ? CROSS_LOAD : 0);
+            final double near = node.callsInFlight + node.badRun[kind] + (handshake ? HANDSHAKE_LOAD : 0);
+            final double load = lane.phase == Phase.PROBING ? node.lastSendUs : near + (cross ? CROSS_LOAD : 0);
             if (best == null || load < bestLoad) {
                 best = node;
                 bestLoad = load;
@@ -611,60 +611,60 @@
     }
 
     /** Until when an endpoint that was put back gets nothing more: it is cold, and may not be tipped. */
-    private long coldUntilUs(final Node node) {
+    private long coldUntilUs(final EndpointState node) {
         final long sinceUs = nowUs - node.backUs;
         if (node.backUs == 0 || sinceUs > guarantees.warmupUs()) {
             return 0;
         }
-        final double apartUs = apartUs(node.lane) * node.lane.nodes.size();
+        final double apartUs = apartUs(node.route) * node.route.endpoints.size();
         return node.lastSendUs + (long) (apartUs / tippingShare(sinceUs));
     }
 
     /** False where an earlier attempt may have run and this endpoint would not know the repeat. */
-    private static boolean zoneAllows(final Job job, final Node node) {
+    private static boolean zoneAllows(final MessageState job, final EndpointState node) {
         return !job.mayHaveRun || !job.kind.deduplicatedPerZone() || node.entry.zone().equals(job.runZone);
     }
 
     /** Rule on order: the first of its key goes, and only after the rest that an open attempt asks for. */
-    private boolean inTurn(final Job job) {
-        final KeyLine line = job.line;
+    private boolean inTurn(final MessageState job) {
+        final KeyQueue line = job.line;
         return line == null
                 || line.ids.get(0).equals(job.message.id()) && (job.mayHaveRun || line.restUntilUs <= nowUs);
     }
 
     /** False for a call that the end of this process would likely cut off: the next one may send it. */
-    private boolean endsInTime(final Lane lane, final Job job) {
+    private boolean endsInTime(final Route lane, final MessageState job) {
         final double times = job.kind.effect() == Effect.UNSAFE ? OVERDUE_TIMES : STOP_TIMES;
         return stopUs == NEVER || nowUs + times * expectedUs(lane, job) < stopUs;
     }
 
     /** Sends a message and, where calls are shared, those that wait with it. */
-    private void send(final Job first, final Lane lane) {
-        final Node node = choose(lane, first);
+    private void send(final MessageState first, final Route lane) {
+        final EndpointState node = choose(lane, first);
         final Call call = new Call();
         call.node = node;
         call.sentUs = nowUs;
         callsOut++;
         lane.calls.add(call);
         lane.peak = Math.max(lane.peak, lane.calls.size());
-        if (node.inFlight++ == 0) {
+        if (node.callsInFlight++ == 0) {
             checkIdle(call, node, first);
         }
         final int streams = limits.streamsPerConnection();
-        node.connections = Math.max(node.connections, (node.inFlight + streams - 1) / streams);
+        node.connections = Math.max(node.connections, (node.callsInFlight + streams - 1) / streams);
         node.lastSendUs = lane.lastSendUs = nowUs;
-        if (lane.phase == Phase.OUT) {
-            lane.nextTrialUs = trialUs(lane);
+        if (lane.phase == Phase.PROBING) {
+            lane.nextProbeUs = trialUs(lane);
         }
-        Job job = first;
-        final boolean alone = lane.phase == Phase.OUT;
+        MessageState job = first;
+        final boolean alone = lane.phase == Phase.PROBING;
         while (job != null) {
             call.messages++;
             call.carry(job, (long) expectedUs(lane, job));
             job.attempts++;
             job.destination.dequeue(job);
             actions.send(job.message.id(), node.entry.id(), timeoutUs(lane, job));
-            final boolean full = alone || call.messages >= lane.kind.messagesPerCall();
+            final boolean full = alone || call.messages >= lane.destinationKind.messagesPerCall();
             job = full ? null : pick(job.destination, lane, node);
         }
     }
@@ -673,7 +673,7 @@
      * An idle connection may be dead without a sign, wherever it died: when a call over one fails where all
      * was well, none idle half as long is used for a while (a quarter, for unsafe ones). Costs handshakes.
      */
-    private void checkIdle(final Call call, final Node node, final Job job) {
+    private void checkIdle(final Call call, final EndpointState node, final MessageState job) {
         final long idleUs = nowUs - node.lastUseUs;
         if (node.connections > 0 && idleUs >= trustUs / (job.kind.effect() == Effect.UNSAFE ? 2 : 1)) {
             node.connections = 0;
@@ -688,10 +688,10 @@
      * next use is some seconds away at most; and where a well endpoint had no room for one of ours, unless it
      * is near. Guards against refused connections at well endpoints, and against a handshake a call.
      */
-    private void shareConnections(final Node node, final Call call) {
+    private void shareConnections(final EndpointState node, final Call call) {
         final double reachUs = nowUs < node.fullUntilUs ? REUSE_CALLS * call.expectedUs : REUSE_US;
         final boolean many = settings.courierCount() > FEW_COURIERS;
-        if (many && node.lane.rate * reachUs / SECOND_US < node.lane.nodes.size()) {
+        if (many && node.route.servedPerSecond * reachUs / SECOND_US < node.route.endpoints.size()) {
             node.connections = 0;
             actions.closeIdleConnections(node.entry.id());
         }
@@ -700,28 +700,28 @@
     // ---------------------------------------------------------------- the fuzzy step
 
     /** True for a lane without trouble, wait, guard or operator's mark: it may begin anew. */
-    private boolean isSettled(final Lane lane) {
-        final boolean warm = lane.phase == Phase.RAMP && nowUs - lane.rampFromUs > guarantees.warmupUs();
-        return (warm || lane.phase == Phase.WELL)
-                && lane.troubleFromUs == NEVER
-                && Math.max(lane.waitUntilUs, lane.pauseUntilUs) <= nowUs
-                && lane.nodes.stream().allMatch(node -> !isAvoided(node, nowUs) && coldUntilUs(node) == 0);
+    private boolean isSettled(final Route lane) {
+        final boolean warm = lane.phase == Phase.SLOW_START && nowUs - lane.slowStartSinceUs > guarantees.warmupUs();
+        return (warm || lane.phase == Phase.HEALTHY)
+                && lane.failingSinceUs == NEVER
+                && Math.max(lane.retryAfterUntilUs, lane.backoffUntilUs) <= nowUs
+                && lane.endpoints.stream().allMatch(node -> !isAvoided(node, nowUs) && coldUntilUs(node) == 0);
     }
 
     /** Moves a lane's window by Table I. */
-    private void step(final Lane lane) {
+    private void step(final Route lane) {
         final int bad = lane.bad + overdue(lane);
         final int read = lane.served + lane.errors + bad;
-        if (lane.phase == Phase.WELL) {
-            lane.rate += Math.max(SAMPLE_WEIGHT, 1.0 / ++lane.steps) * (lane.served - lane.rate);
+        if (lane.phase == Phase.HEALTHY) {
+            lane.servedPerSecond += Math.max(SAMPLE_WEIGHT, 1.0 / ++lane.steps) * (lane.served - lane.servedPerSecond);
         }
         if (read > 0) {
             double latency = 0;
             if (lane.served > 0) {
                 final double mean = lane.ratioSum / lane.served;
                 final double trust = lane.served / (lane.served + LATENCY_PRIOR);
-                latency = clamp(trust * (mean / lane.slowRatio - 1), 0, 1);
-                lane.slowRatio += SAMPLE_WEIGHT * trust * (mean - lane.slowRatio);
+                latency = clamp(trust * (mean / lane.meanLatencyRatio - 1), 0, 1);
+                lane.meanLatencyRatio += SAMPLE_WEIGHT * trust * (mean - lane.meanLatencyRatio);
             }
             double refusal = (double) bad / read;
             if (lane.allowance != null && lane.allowance.callsPerSecond() > 0) {
@@ -734,30 +734,30 @@
                         WINDOW_FLOOR,
                         Math.max(1, Math.floor(HEALTHY_SHARE * limits.maxCallsInFlight())));
             }
-            lane.slow = latency > SLOW_INPUT || refusal > SLOW_INPUT;
+            lane.degraded = latency > SLOW_INPUT || refusal > SLOW_INPUT;
         }
         final double least = SPACING_LEAST * Math.min(1, SPACING_COURIERS / settings.courierCount());
-        final double refusing = least + SPACING * Math.max(lane.served, lane.rate);
-        lane.spacing = lane.refused > 0 ? refusing : spacingGrowth(lane) * lane.spacing;
+        final double refusing = least + SPACING * Math.max(lane.served, lane.servedPerSecond);
+        lane.sendsPerSecond = lane.refused > 0 ? refusing : spacingGrowth(lane) * lane.sendsPerSecond;
         lane.peak = lane.calls.size();
         lane.ratioSum = lane.refused = lane.served = lane.bad = lane.errors = 0;
         lane.allowance = null;
     }
 
     /** How much sooner each step without refusals lets the next call go. */
-    private double spacingGrowth(final Lane lane) {
-        final boolean room = settings.courierCount() > FEW_COURIERS && lane.reported && lane.left > LEFT_HIGH;
+    private double spacingGrowth(final Route lane) {
+        final boolean room = settings.courierCount() > FEW_COURIERS && lane.limitReported && lane.left > LEFT_HIGH;
         return room ? SPACING_GONE : SPACING;
     }
 
     /** As many steps at rest: once the average of few steps is past, they come to a power. */
-    private void rest(final Lane lane, final long steps) {
+    private void rest(final Route lane, final long steps) {
         final long single = Math.min(steps, STEPS_AVERAGED);
         for (long done = 0; done < single; done++) {
             step(lane);
         }
-        lane.rate *= lane.phase == Phase.WELL ? Math.pow(1 - SAMPLE_WEIGHT, steps - single) : 1;
-        lane.spacing *= Math.pow(spacingGrowth(lane), steps - single);
+        lane.servedPerSecond *= lane.phase == Phase.HEALTHY ? Math.pow(1 - SAMPLE_WEIGHT, steps - single) : 1;
+        lane.sendsPerSecond *= Math.pow(spacingGrowth(lane), steps - single);
     }
 
     /** Table I, rows by latency, columns by refusals, each Low, Medium, High: places in the outputs. */
@@ -791,20 +791,20 @@
     // ---------------------------------------------------------------- health and return from outage
 
     /** Reads one outcome: service times, the step's inputs, waits, health of the endpoint and the lane. */
-    private void judge(final Node node, final Call call, final Job job, final Outcome outcome) {
-        final Lane lane = node.lane;
+    private void judge(final EndpointState node, final Call call, final MessageState job, final Outcome outcome) {
+        final Route lane = node.route;
         if (outcome.reportedLimit() != null && plausible(lane, outcome.reportedLimit().callsPerSecond())) {
             lane.allowance = outcome.reportedLimit();
-            lane.told = lane.allowance.callsPerSecond();
+            lane.limitPerSecond = lane.allowance.callsPerSecond();
             lane.leftAtUs = nowUs;
             lane.left = clamp(lane.allowance.remainingShare(), 0, 1);
-            lane.reported = true;
+            lane.limitReported = true;
         }
         final int kind = job.message.messageClass();
         // The messages of a shared call mostly fare alike: what they tell of the lane's health is told once.
         final boolean news = call.seen.add(outcome.result());
-        final boolean first = lane.troubleFromUs == NEVER;
-        lane.troubleFromUs = Math.min(lane.troubleFromUs, nowUs);
+        final boolean first = lane.failingSinceUs == NEVER;
+        lane.failingSinceUs = Math.min(lane.failingSinceUs, nowUs);
         // A wait may stand in any answer, also one that delivers some of a call's messages.
         wait(lane, outcome.retryAfterUs());
         switch (outcome.result()) {
@@ -815,10 +815,10 @@
                 if (!news) {
                     return;
                 }
-                final long fromUs = Math.max(nowUs, lane.waitUntilUs);
+                final long fromUs = Math.max(nowUs, lane.retryAfterUntilUs);
                 final long gapUs = patienceUs(lane, fromUs);
                 final boolean told = outcome.retryAfterUs() > 0;
-                lane.pauseUntilUs = fromUs + (told ? (long) (random.nextDouble() * gapUs) : jitter(gapUs));
+                lane.backoffUntilUs = fromUs + (told ? (long) (random.nextDouble() * gapUs) : jitter(gapUs));
                 suspect(lane, outcome.retryAfterUs() > LIMIT_WAIT_US ? OUT_WEIGHT : REFUSED_WEIGHT);
             }
             case ERROR -> {
@@ -826,7 +826,7 @@
                 if (!news) {
                     return;
                 }
-                lane.failShare += FAIL_WEIGHT * (1 - lane.failShare);
+                lane.failureShare += FAIL_WEIGHT * (1 - lane.failureShare);
                 suspect(lane, ERROR_WEIGHT);
             }
             case TIMED_OUT, RESET, NO_CONNECTION, CANCELLED -> {
@@ -835,7 +835,7 @@
                     return;
                 }
                 if (outcome.result() == Result.TIMED_OUT || outcome.result() == Result.CANCELLED) {
-                    lane.stretch = STRETCH;
+                    lane.timeoutFactor = STRETCH;
                 }
                 if (first && call.idleUs > 0 && !call.calledOff && outcome.result() != Result.NO_CONNECTION) {
                     final double leastUs = TRUST_LEAST * limits.idleTimeoutUs();
@@ -852,56 +852,56 @@
                 troubled.add(lane);
                 node.connections = Math.max(0, node.connections - 1);
                 if (outcome.result() != Result.NO_CONNECTION || node.lastServedUs <= call.sentUs) {
-                    lane.failShare += FAIL_WEIGHT * (1 - lane.failShare);
+                    lane.failureShare += FAIL_WEIGHT * (1 - lane.failureShare);
                     suspect(lane, settings.courierCount() > FEW_COURIERS ? FLEET_FAILURE_WEIGHT : 1);
                 }
             }
-            case NOT_SENT -> lane.troubleFromUs = first ? NEVER : lane.troubleFromUs;
+            case NOT_SENT -> lane.failingSinceUs = first ? NEVER : lane.failingSinceUs;
         }
     }
 
     /** A message was delivered: trouble at its destination is over, and an outage turns into a ramp. */
-    private void succeed(final Node node, final Job job, final long durationUs) {
-        final Lane lane = node.lane;
+    private void succeed(final EndpointState node, final MessageState job, final long durationUs) {
+        final Route lane = node.route;
         final int kind = job.message.messageClass();
         learn(lane, job, durationUs);
         lane.served++;
         node.lastServedUs = nowUs;
         node.badRun[kind] = 0;
         node.avoidUntilUs[kind] = 0;
-        lane.badRun = 0;
-        lane.stretch = Math.max(1, lane.stretch - STRETCH * SAMPLE_WEIGHT);
-        lane.failShare -= FAIL_WEIGHT * lane.failShare;
-        if (lane.phase == Phase.OUT) {
-            lane.phase = Phase.RAMP;
-            lane.rampFromUs = nowUs;
-            lane.rampSpanUs = patienceUs(lane, nowUs);
-            lane.failShare = 0;
+        lane.consecutiveFailureWeight = 0;
+        lane.timeoutFactor = Math.max(1, lane.timeoutFactor - STRETCH * SAMPLE_WEIGHT);
+        lane.failureShare -= FAIL_WEIGHT * lane.failureShare;
+        if (lane.phase == Phase.PROBING) {
+            lane.phase = Phase.SLOW_START;
+            lane.slowStartSinceUs = nowUs;
+            lane.slowStartIntervalUs = patienceUs(lane, nowUs);
+            lane.failureShare = 0;
         }
-        lane.troubleFromUs = NEVER;
+        lane.failingSinceUs = NEVER;
     }
 
     /** False for a limit far under the list's, or none where there was one: it would end or flood a lane. */
-    private static boolean plausible(final Lane lane, final double limit) {
-        return limit > 0 ? limit >= LEAST_LIMIT * lane.listed : !lane.reported || lane.told <= 0;
+    private static boolean plausible(final Route lane, final double limit) {
+        return limit > 0 ? limit >= LEAST_LIMIT * lane.listedLimit : !lane.limitReported || lane.limitPerSecond <= 0;
     }
 
     /** Adds to a lane's run of bad outcomes; a long run, or a high share of failures, is an outage. */
-    private void suspect(final Lane lane, final double weight) {
-        lane.badRun += weight;
-        final boolean out = lane.badRun + overdue(lane) >= OUT_WEIGHT || lane.failShare > OUT_SHARE;
-        if (out && lane.phase != Phase.OUT) {
-            lane.phase = Phase.OUT;
+    private void suspect(final Route lane, final double weight) {
+        lane.consecutiveFailureWeight += weight;
+        final boolean out = lane.consecutiveFailureWeight + overdue(lane) >= OUT_WEIGHT || lane.failureShare > OUT_SHARE;
+        if (out && lane.phase != Phase.PROBING) {
+            lane.phase = Phase.PROBING;
             troubled.add(lane);
-            lane.nodes.forEach(node -> node.fullUntilUs = 0);
+            lane.endpoints.forEach(node -> node.fullUntilUs = 0);
             lane.window = WINDOW_FLOOR;
-            lane.troubleFromUs = Math.min(lane.troubleFromUs, nowUs);
-            lane.nextTrialUs = trialUs(lane);
+            lane.failingSinceUs = Math.min(lane.failingSinceUs, nowUs);
+            lane.nextProbeUs = trialUs(lane);
         }
     }
 
     /** Attempts out far longer than expected with no success on their endpoint since: silence. */
-    private int overdue(final Lane lane) {
+    private int overdue(final Route lane) {
         int count = 0;
         for (final Call call : lane.calls) {
             if (nowUs >= call.overdueUs() && call.node.lastServedUs < call.sentUs) {
@@ -922,7 +922,7 @@
             return;
         }
         final Call worst = busy.values().stream()
-                .flatMap(destination -> destination.lanes.stream())
+                .flatMap(destination -> destination.routes.stream())
                 .flatMap(lane -> lane.calls.stream())
                 .filter(call -> !call.calledOff && nowUs >= call.overdueUs())
                 .min(Comparator.comparingLong(call -> call.sentUs))
@@ -940,23 +940,23 @@
      * (or this courier's even part of the limit) are apart. So all couriers, however many, come no more often
      * than messages do; it hurts a message whose wait outlasts the trouble.
      */
-    private long patienceUs(final Lane lane, final long atUs) {
-        return (long) Math.min(Math.max(PAUSE_US, atUs - lane.troubleFromUs), apartUs(lane));
+    private long patienceUs(final Route lane, final long atUs) {
+        return (long) Math.min(Math.max(PAUSE_US, atUs - lane.failingSinceUs), apartUs(lane));
     }
 
     /** How far apart this courier's messages for a lane are, or calls at its even part of the limit. */
-    private double apartUs(final Lane lane) {
-        final double limit = lane.told > 0 ? lane.told : UNTOLD_LIMIT;
-        return SECOND_US / Math.max(lane.rate, limit / settings.courierCount());
+    private double apartUs(final Route lane) {
+        final double limit = lane.limitPerSecond > 0 ? lane.limitPerSecond : UNTOLD_LIMIT;
+        return SECOND_US / Math.max(lane.servedPerSecond, limit / settings.courierCount());
     }
 
     /**
      * When a lane that is out is tried again: at any moment as likely as the share that tips a cold one, over
      * the outage's age. So the trials of all couriers stay near that share of the messages, however many.
      */
-    private long trialUs(final Lane lane) {
-        final long fromUs = Math.max(nowUs, lane.waitUntilUs);
-        final double ageUs = Math.max(PAUSE_US, fromUs - lane.troubleFromUs);
+    private long trialUs(final Route lane) {
+        final long fromUs = Math.max(nowUs, lane.retryAfterUntilUs);
+        final double ageUs = Math.max(PAUSE_US, fromUs - lane.failingSinceUs);
         final double gapUs = ageUs * (Math.pow(1 - random.nextDouble(), -1 / tippingShare(0)) - 1);
         return fromUs + (long) Math.min(gapUs, jitter((long) (apartUs(lane) / tippingShare(0))));
     }
@@ -968,17 +968,17 @@
         return guarantees.overloadMultiple() * (coldFrom + (1 - coldFrom) * clamp(warm, 0, 1));
     }
 
-    private void learn(final Lane lane, final Job job, final long durationUs) {
+    private void learn(final Route lane, final MessageState job, final long durationUs) {
         final int kind = job.message.messageClass();
         final double ratio = durationUs / Math.max(1, classMeanUs[kind]);
         lane.ratioSum += ratio;
         final double weight = Math.max(SAMPLE_WEIGHT, 1.0 / ++classSamples[kind]);
-        classMeanUs[kind] += weight * (durationUs / Math.max(PACE_LEAST, lane.pace) - classMeanUs[kind]);
-        lane.pace += Math.max(SAMPLE_WEIGHT, 1.0 / (1 + ++lane.paceSamples)) * (ratio - lane.pace);
+        classMeanUs[kind] += weight * (durationUs / Math.max(PACE_LEAST, lane.latencyFactor) - classMeanUs[kind]);
+        lane.latencyFactor += Math.max(SAMPLE_WEIGHT, 1.0 / (1 + ++lane.latencyFactorSamples)) * (ratio - lane.latencyFactor);
     }
 
-    private double expectedUs(final Lane lane, final Job job) {
-        return classMeanUs[job.message.messageClass()] * Math.max(PACE_LEAST, lane.pace);
+    private double expectedUs(final Route lane, final MessageState job) {
+        return classMeanUs[job.message.messageClass()] * Math.max(PACE_LEAST, lane.latencyFactor);
     }
 
     private long jitter(final long us) {
@@ -992,11 +992,11 @@
     // ---------------------------------------------------------------- deadlines and further attempts
 
     /** How long an attempt may take. */
-    private long timeoutUs(final Lane lane, final Job job) {
+    private long timeoutUs(final Route lane, final MessageState job) {
         final double expectedUs = expectedUs(lane, job);
         final long leftUs = job.message.latestEndUs() - nowUs;
         final double leastUs = Math.min(TIMEOUT_LEAST_US, TIMEOUT_SHARE * job.kind.deadlineUs());
-        double timeoutUs = Math.max(leastUs, TIMEOUT_TIMES * lane.stretch * expectedUs);
+        double timeoutUs = Math.max(leastUs, TIMEOUT_TIMES * lane.timeoutFactor * expectedUs);
         if (job.kind.effect() == Effect.UNSAFE) {
             return leftUs;
         }
@@ -1011,11 +1011,11 @@
 
     /** Looks for silence and ramps that are over; ends what may not be sent again, or has no time left. */
     private void watch() {
-        for (final Destination destination : List.copyOf(busy.values())) {
-            for (final Lane lane : destination.lanes) {
+        for (final DestinationState destination : List.copyOf(busy.values())) {
+            for (final Route lane : destination.routes) {
                 suspect(lane, 0);
-                if (lane.phase == Phase.RAMP && nowUs - lane.rampFromUs > guarantees.warmupUs()) {
-                    lane.phase = Phase.WELL;
+                if (lane.phase == Phase.SLOW_START && nowUs - lane.slowStartSinceUs > guarantees.warmupUs()) {
+                    lane.phase = Phase.HEALTHY;
                 }
             }
             if (nowUs >= firstEndUs(destination)) {
@@ -1024,8 +1024,8 @@
         }
     }
 
-    private void endDue(final Destination destination) {
-        for (final Job job : List.copyOf(destination.waiting)) {
+    private void endDue(final DestinationState destination) {
+        for (final MessageState job : List.copyOf(destination.waiting)) {
             if (nowUs >= endUs(job) || !maySend(job)) {
                 // Given up: come again when the line that stands there now has gone, and no sooner.
                 finish(job, Math.max(PAUSE_US, destination.lineUs()));
@@ -1034,9 +1034,9 @@
     }
 
     /** When the first of a destination's waiting messages is ended; read anew after one has come or gone. */
-    private long firstEndUs(final Destination destination) {
+    private long firstEndUs(final DestinationState destination) {
         if (destination.firstEndUs == UNKNOWN) {
-            destinations.messagesVisited(destination.waiting.size());
+            destinations.countExaminedMessages(destination.waiting.size());
             destination.firstEndUs = destination.waiting.stream()
                     .mapToLong(job -> maySend(job) ? endUs(job) : nowUs)
                     .min()
@@ -1046,23 +1046,23 @@
     }
 
     /** When a message that waits is ended: its time or its key's window is up. */
-    private long endUs(final Job job) {
+    private long endUs(final MessageState job) {
         return Math.min(job.message.latestEndUs() - END_MARGIN_US, job.keyEndUs());
     }
 
     /** Rule on effects, and the most attempts. */
-    private boolean maySend(final Job job) {
+    private boolean maySend(final MessageState job) {
         final Effect effect = job.kind.effect();
         return DeliveryRules.mayRepeat(effect, job.mayHaveRun, nowUs < job.keyEndUs())
                 && job.attempts < limits.maxAttempts();
     }
 
-    private static boolean mayRefuse(final Job job) {
+    private static boolean mayRefuse(final MessageState job) {
         return DeliveryRules.mayRefuse(job.kind, job.mayHaveRun);
     }
 
     /** Gives the final answer: a refusal where that is harmless, or a failure. */
-    private void finish(final Job job, final long retryAfterUs) {
+    private void finish(final MessageState job, final long retryAfterUs) {
         if (mayRefuse(job)) {
             actions.refuse(job.message.id(), Math.min(retryAfterUs, limits.maxRetryAfterUs()));
         } else {
@@ -1071,7 +1071,7 @@
         end(job);
     }
 
-    private void end(final Job job) {
+    private void end(final MessageState job) {
         open -= job.over ? 0 : 1;
         job.over = true;
         job.destination.dequeue(job);
@@ -1080,7 +1080,7 @@
                 job.line.ids.remove(job.message.id());
             }
             jobs.remove(job.message.id());
-            if (--job.destination.jobs == 0) {
+            if (--job.destination.openMessages == 0) {
                 busy.remove(job.message.destination());
             }
         }
@@ -1090,7 +1090,7 @@
     private void makeRoom() {
         final int reserve = (int) Math.max(1, STORE_RESERVE * limits.maxOpenMessages());
         while (open > limits.maxOpenMessages() - reserve) {
-            final Job least = busy.values().stream()
+            final MessageState least = busy.values().stream()
                     .flatMap(destination -> destination.waiting.stream())
                     .filter(Control::mayRefuse)
                     .min(Comparator.comparingDouble(this::worthInLine))
@@ -1103,7 +1103,7 @@
     }
 
     /** The worth of a message that is delivered when the line of its destination has gone. */
-    private double worthInLine(final Job job) {
+    private double worthInLine(final MessageState job) {
         return worth(job, Math.min(nowUs + job.destination.lineUs(), job.keyEndUs() - 1));
     }
 
@@ -1121,8 +1121,8 @@
     /** Asks to be woken when something can change by time alone: a guard, a deadline, a silence, a step. */
     private void sleep() {
         long next = Math.min(nextStepUs, askAgainUs);
-        for (final Destination destination : busy.values()) {
-            for (final Lane lane : destination.lanes) {
+        for (final DestinationState destination : busy.values()) {
+            for (final Route lane : destination.routes) {
                 for (final Call call : lane.calls) {
                     next = Math.min(next, call.overdueUs() > nowUs ? call.overdueUs() : NEVER);
                 }
@@ -1158,11 +1158,11 @@
     @Override
     public void onOperatorOverride(final long now, final long endpoint, final boolean out, final long backUs) {
         nowUs = now;
-        final Node node = destinations.node(endpoint);
+        final EndpointState node = destinations.endpointState(endpoint);
         if (node == null) {
             return;
         }
-        troubled.add(node.lane);
+        troubled.add(node.route);
         if (out && !node.out) {
             // They restart it: what is open there now will not be when it is back.
             node.connections = 0;
@@ -1172,8 +1172,8 @@
         node.backUs = out ? 0 : backUs;
     }
 
-    private Lane newLane(final DestinationKind kind) {
-        return new Lane(kind, settings.courierCount() <= FEW_COURIERS ? WINDOW_START : WINDOW_RARE);
+    private Route newLane(final DestinationKind kind) {
+        return new Route(kind, settings.courierCount() <= FEW_COURIERS ? WINDOW_START : WINDOW_RARE);
     }
 
     /** Where the list must be asked for: once at the start, and again after a loss. */
@@ -1187,23 +1187,23 @@
 
     // ---------------------------------------------------------------- state
 
-    /** A destination: what waits for it, and its lanes (one, unless its routes are apart). */
-    static final class Destination {
-        private final List<Job> waiting = new ArrayList<>();
-        final List<Lane> lanes = new ArrayList<>();
-        /** Its messages, waiting or out. */
-        int jobs;
+    /** A destination: the messages waiting for it, and its routes (one, unless its routes are separate). */
+    static final class DestinationState {
+        private final List<MessageState> waiting = new ArrayList<>();
+        final List<Route> routes = new ArrayList<>();
+        /** Its messages, waiting or in an attempt. */
+        int openMessages;
         /** When the first one that waits is ended. */
         private long firstEndUs = NEVER;
-        /** The number of the step that its lanes saw last. */
-        long steppedAt;
+        /** The number of the last step that its routes took. */
+        long lastStep;
 
-        private void enqueue(final Job job) {
+        private void enqueue(final MessageState job) {
             waiting.add(job);
             firstEndUs = UNKNOWN;
         }
 
-        private void dequeue(final Job job) {
+        private void dequeue(final MessageState job) {
             if (waiting.remove(job)) {
                 firstEndUs = UNKNOWN;
             }
@@ -1212,44 +1212,44 @@
         /** How long its line takes at the rate that it was served, us. */
         private long lineUs() {
             final double rate = Math.max(
-                    LEAST_RATE, lanes.stream().mapToDouble(lane -> lane.rate).sum());
+                    LEAST_RATE, routes.stream().mapToDouble(lane -> lane.servedPerSecond).sum());
             return (long) (waiting.size() / rate * SECOND_US);
         }
     }
 
-    /** The unit of the window: a destination, or a route of it. */
-    static final class Lane extends LaneState {
-        final DestinationKind kind;
-        final List<Node> nodes = new ArrayList<>();
+    /** What has a window of its own: a destination, or one of its separate routes. */
+    static final class Route extends RouteState {
+        final DestinationKind destinationKind;
+        final List<EndpointState> endpoints = new ArrayList<>();
         private final List<Call> calls = new ArrayList<>();
         /** This step's counts and sum of latency ratios. */
         private int peak, refused, served, bad, errors;
 
         private double ratioSum;
         private ReportedLimit allowance;
-        /** The list's figure for the limit. */
-        double listed;
+        /** The limit that the list names. */
+        double listedLimit;
         /** The share of that limit that was left when last reported, and when. */
         private double left = 1;
 
         private long leftAtUs;
 
-        private Lane(final DestinationKind kind, final double window) {
-            this.kind = kind;
+        private Route(final DestinationKind kind, final double window) {
+            this.destinationKind = kind;
             this.window = window;
         }
     }
 
     /** An endpoint. */
-    static final class Node {
+    static final class EndpointState {
         final Endpoint entry;
-        final Lane lane;
+        final Route route;
         Condition condition;
         /** Taken out by hand; and since when it is back, 0 if it never was out. */
         private boolean out;
 
         private long backUs;
-        int inFlight, connections;
+        int callsInFlight, connections;
         /** Failures in a row of each class, and until when that class goes elsewhere. */
         private final int[] badRun;
 
@@ -1259,23 +1259,23 @@
 
         private long lastUseUs, lastSendUs, lastServedUs;
 
-        Node(final Endpoint entry, final Lane lane, final int classes) {
+        EndpointState(final Endpoint entry, final Route lane, final int classes) {
             this.badRun = new int[classes];
             this.avoidUntilUs = new long[classes];
             this.entry = entry;
-            this.lane = lane;
+            this.route = lane;
         }
     }
 
     /** A call in flight, with one or more messages. */
     private static final class Call {
-        private Node node;
+        private EndpointState node;
         private int messages;
         private long sentUs, expectedUs, idleUs, overdueLeastUs = OVERDUE_LEAST_US;
         private boolean calledOff;
         private final Set<Result> seen = EnumSet.noneOf(Result.class);
 
-        private void carry(final Job job, final long jobUs) {
+        private void carry(final MessageState job, final long jobUs) {
             expectedUs = Math.max(expectedUs, jobUs);
             overdueLeastUs = (long) Math.min(overdueLeastUs, OVERDUE_SHARE * job.kind.deadlineUs());
             job.call = this;
@@ -1286,16 +1286,16 @@
         }
     }
 
-    /** A message that is owed an answer, or still has an attempt out. */
-    private static final class Job {
+    /** A message that has not ended, or still has an attempt in flight. */
+    private static final class MessageState {
         private final Message message;
         private final MessageClass kind;
         private final long aimUs;
-        private Destination destination;
-        private KeyLine line;
+        private DestinationState destination;
+        private KeyQueue line;
         private Call call;
         /** Where it may go, and how urgently, when last looked at. */
-        private Lane lane;
+        private Route lane;
 
         private double urgency;
         private int attempts;
@@ -1303,7 +1303,7 @@
         private long firstRunUs = NEVER;
         private String runZone = "";
 
-        private Job(final Message message, final MessageClass kind) {
+        private MessageState(final Message message, final MessageClass kind) {
             this.message = message;
             this.kind = kind;
             this.aimUs = message.validUntilUs() - kind.deadlineUs() + kind.targetUs();
@@ -1318,8 +1318,8 @@
         }
     }
 
-    /** The messages of one key, in the order taken; some have ended, and only their notice is owed. */
-    private static final class KeyLine {
+    /** The messages of one key, in the order accepted; some have ended, and only their notice is not answered yet. */
+    private static final class KeyQueue {
         private final List<String> ids = new ArrayList<>();
         private final Set<String> owed = new HashSet<>();
         private long restUntilUs;
--- a/src/main/java/railspar/Courier.java
+++ b/src/main/java/railspar/Courier.java
@@ -17,13 +17,13 @@
         UNSAFE
     }
 
-    /** How worth falls between the aim and the deadline. */
+    /** How the value of a message falls between its target time and its deadline. */
     enum ValueDecay {
         LINEAR,
         HALVING
     }
 
-    /** What an endpoint's weight tells of its destination's limit. */
+    /** What an endpoint's weight says about its destination's rate limit. */
     enum WeightMeaning {
         NONE,
         NOMINAL,
@@ -59,7 +59,7 @@
         GONE
     }
 
-    /** What an update of the list holds: changed entries, all, the last list known, or no news at all. */
+    /** What an update of the list holds: changed entries, all entries, the last known list, or nothing. */
     enum ListUpdate {
         INCREMENTAL,
         FULL,
@@ -79,13 +79,13 @@
             long deadlineUs,
             long dedupWindowUs) {}
 
-    /** A tenant and the messages a second, over all couriers, that are worth their full worth. */
+    /** A tenant and the messages a second, over all couriers, that count with their full value. */
     record Tenant(String name, double quotaPerSecond) {}
 
     /** A kind of destination. */
     record DestinationKind(String name, boolean separateRoutes, int messagesPerCall) {}
 
-    /** The figures of the rules. */
+    /** The parameters of the rules that every courier keeps. */
     record RuleParameters(long listRequestDeadlineUs, double coldCapacityShare, long warmupUs, double overloadMultiple, long orderingDelayUs) {}
 
     /** What this courier may use. */
@@ -133,9 +133,8 @@
     record Endpoint(long id, Condition condition, String zone, double weight, int destinationKind, long destination) {}
 
     /**
-     * A message taken; {@code messageClass} and {@code tenant} index the settings, tenant -1 if none. {@code ageUncertaintyUs}:
-     * it
-     * may be so much older than its host can tell; its end must be in time all the same.
+     * An accepted message; {@code messageClass} and {@code tenant} index the settings, tenant -1 if none. {@code
+     * ageUncertaintyUs}: it may be older than its host can tell by this much; it must end in time all the same.
      */
     record Message(
             String id, int messageClass, int tenant, String key, long validUntilUs, long destination, long ageUncertaintyUs) {
@@ -150,35 +149,36 @@
             this(id, messageClass, tenant, key, validUntilUs, destination, 0);
         }
 
-        /** When it must have its end. */
+        /** When the message must have ended at the latest. */
         long latestEndUs() {
             return validUntilUs - ageUncertaintyUs;
         }
     }
 
     /**
-     * What became of a message before this process held it. {@code mayHaveTakenEffect}: an attempt may have had its effect,
-     * the first one at {@code firstEffectUs} (on the clock of the events, perhaps before its start), in {@code effectZone}.
+     * The attempts of a message before this process took it over. {@code mayHaveTakenEffect}: an attempt may have had
+     * its effect, the first one at {@code firstEffectUs} (on the clock of the events, perhaps before its start), in
+     * {@code effectZone}. {@code inheritedCall}: the attempt in flight, or null.
      */
     record AttemptHistory(int attempts, boolean mayHaveTakenEffect, long firstEffectUs, String effectZone, InheritedCall inheritedCall) {
-        /** With no attempt out. */
+        /** With no attempt in flight. */
         public AttemptHistory(final int attempts, final boolean mayHaveTakenEffect, final long firstEffectUs, final String effectZone) {
             this(attempts, mayHaveTakenEffect, firstEffectUs, effectZone, null);
         }
     }
 
-    /** A call of an earlier process that still goes on, to that endpoint; its outcome comes as any other's. */
+    /** A call of an earlier process to an endpoint that is still in flight; its outcome comes as any other's. */
     record InheritedCall(long endpoint, long sentUs) {}
 
-    /** How an endpoint and its destination stand with a process that leaves, by name; times are the clock's. */
+    /** The state of an endpoint and its destination in a process that hands over, by name; times are the clock's. */
     record EndpointSnapshot(Map<String, Double> values, Map<String, Long> timesUs) {}
 
-    /** What a destination told of its limit: the share left, and calls a second (0: no limit). */
+    /** A rate limit that a destination reported: the share left, and calls a second (0: no limit). */
     record ReportedLimit(double remainingShare, double callsPerSecond) {}
 
     /**
-     * The outcome of an attempt. {@code isFinal}: the message has its final answer. {@code retryAfterUs}: the wait told
-     * with the answer, or 0. {@code reportedLimit}: null if nothing was told.
+     * The outcome of an attempt. {@code isFinal}: the message has its final answer. {@code retryAfterUs}: the wait
+     * that the answer asks for, or 0. {@code reportedLimit}: null if the answer reports none.
      */
     record Outcome(
             String messageId,
@@ -190,9 +190,9 @@
             ReportedLimit reportedLimit) {}
 
     /**
-     * The work of the decisions, apart from the machine that does it: destinations that state is held for, lanes that
-     * the steps have visited, and waiting messages whose deadlines were read or that were weighed for a free slot,
-     * since the start.
+     * The work of the decisions, independent of the machine that does it: destinations with state, routes that the
+     * steps have visited, and waiting messages whose deadlines were read or that were considered for sending, since
+     * the start.
      */
     record Workload(int destinationsWithState, long routesVisited, long messagesExamined) {}
 
@@ -207,7 +207,10 @@
         /** The listed endpoint of that id, or null. */
         Endpoint endpoint(long id);
 
-        /** {@link Courier#onListUpdate} has been told of this; a host that keeps its list up to date itself need not care. */
+        /**
+         * {@link Courier#onListUpdate} has been told of this; a host that keeps its list up to date itself need not
+         * care.
+         */
         default void update(final ListUpdate update, final List<Endpoint> entries) {}
     }
 
@@ -244,21 +247,24 @@
     /** A message was taken. */
     void onMessage(long nowUs, Message message);
 
-    /** A message that an earlier process of this courier took is held again; in the order taken. */
+    /** A message that an earlier process of this courier accepted is taken over; in the order accepted. */
     void onMessageResumed(long nowUs, Message message, AttemptHistory past);
 
-    /** How a listed endpoint stands, for a process that takes over from this one; it changes nothing. */
+    /** The state of a listed endpoint, for a process that takes over from this one; it changes nothing. */
     EndpointSnapshot snapshot(long nowUs, long endpoint);
 
-    /** How a listed endpoint stood with the process that this one takes over from: waits and guards go on. */
+    /** The state of a listed endpoint in the process that this one takes over from: waits and guards go on. */
     void onEndpointSnapshot(long nowUs, long endpoint, EndpointSnapshot standing);
 
-    /** An attempt that was out in an earlier process was cut off with it: it may have run. */
+    /**
+     * An attempt in flight in an earlier process was interrupted when that process ended: it may have had its
+     * effect.
+     */
     void onAttemptInterrupted(long nowUs, String messageId);
 
     /**
-     * Operators have taken an endpoint out, or put it back at that time: it comes back cold. It holds whatever the list
-     * says, and is told again when the list names the endpoint anew.
+     * Operators have disabled an endpoint, or enabled it again at that time, after which it is cold. This holds
+     * whatever the list says, and is repeated when the list names the endpoint anew.
      */
     void onOperatorOverride(long nowUs, long endpoint, boolean out, long backUs);
 
@@ -268,16 +274,19 @@
     /** An attempt ended. */
     void onOutcome(long nowUs, Outcome outcome);
 
-    /** An endpoint told to wait in an answer that came behind its attempt's end, or for none that is still held. */
+    /**
+     * An endpoint asked for a wait in an answer that came after its attempt's end, or to no message that is still
+     * open.
+     */
     void onRetryAfter(long nowUs, long endpoint, long waitUs);
 
     /**
      * A message of that key has ended, or had when this process began, by a notice that is not answered yet: until
-     * {@link #onNoticeAnswered} it is not over for those behind it. A host whose ends are over at once never calls it.
+     * {@link #onNoticeAnswered} it still blocks the next ones of its key. A host without notices never calls it.
      */
     void onNoticePending(long nowUs, String messageId, String key);
 
-    /** The notice that was owed is answered. */
+    /** The pending notice is answered. */
     void onNoticeAnswered(long nowUs, String messageId, String key);
 
     /** Nobody wants this message any more; it is owed no answer. */
@@ -286,9 +295,12 @@
     /** All that happened by now has been told, or a wake-up fell due: act on it. */
     void decide(long nowUs);
 
-    /** Listed endpoints that get nothing now, by hand or by judgement; it changes nothing. */
+    /**
+     * The number of listed endpoints that get nothing now, by an operator's or by this courier's decision; it
+     * changes nothing.
+     */
     int avoidedEndpoints(long nowUs);
 
-    /** How a destination stands with this courier, in a few words for the log; it changes nothing. */
+    /** The state of a destination in a few words for the log; it changes nothing. */
     String describe(long destination);
 }
--- a/src/main/java/railspar/DeliveryRules.java
+++ b/src/main/java/railspar/DeliveryRules.java
@@ -49,12 +49,12 @@
     }
 
     /**
-     * An attempt whose first byte is about to be written. {@code recorded}: the journal holds it. {@code current}: the
-     * message is in no other call. {@code available}: the endpoint may get new calls. {@code past}: what earlier
-     * attempts may have done. {@code zone}: the endpoint's.
+     * An attempt whose first byte is about to be written. {@code recorded}: the journal holds it. {@code current}:
+     * the message is in no other call. {@code available}: the endpoint may get new calls. {@code history}: what
+     * earlier attempts may have done. {@code zone}: the endpoint's.
      */
     public record Attempt(
-            MessageClass kind, boolean recorded, boolean current, boolean available, Courier.AttemptHistory past, String zone) {}
+            MessageClass messageClass, boolean recorded, boolean current, boolean available, Courier.AttemptHistory history, String zone) {}
 
     /** True where sending a message once more does no harm. {@code remembered}: endpoints still know its key. */
     static boolean mayRepeat(final Effect effect, final boolean mayHaveRun, final boolean remembered) {
@@ -97,8 +97,8 @@
     }
 
     private static Optional<Violation> repeatViolation(final Attempt attempt, final long nowUs) {
-        final MessageClass kind = attempt.kind();
-        final Courier.AttemptHistory past = attempt.past();
+        final MessageClass kind = attempt.messageClass();
+        final Courier.AttemptHistory past = attempt.history();
         final boolean remembered = nowUs < past.firstEffectUs() + kind.dedupWindowUs();
         if (!mayRepeat(kind.effect(), past.mayHaveTakenEffect(), remembered)) {
             return Optional.of(
--- a/src/main/java/railspar/DestinationTable.java
+++ b/src/main/java/railspar/DestinationTable.java
@@ -1,8 +1,8 @@
 package railspar;
 
-import railspar.Control.Destination;
-import railspar.Control.Lane;
-import railspar.Control.Node;
+import railspar.Control.DestinationState;
+import railspar.Control.Route;
+import railspar.Control.EndpointState;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -13,39 +13,39 @@
 import java.util.function.Predicate;
 
 /**
- * The destinations that a courier keeps state for, and the endpoints of theirs. State begins with a destination's first
- * message, from what the {@link Courier.Directory} says then; a step visits the destinations in use only, and one that
- * comes into use again first takes the steps that it has missed. Of those at rest, what is learned of the ones that
- * were used last is kept. It decides nothing: what a new lane holds, what a step does and which lane may be forgotten
- * is told by {@link Control}.
+ * The destinations that a courier keeps state for, and the endpoints of theirs. State begins with a destination's
+ * first message, from what the {@link Courier.Directory} says then; a step visits the destinations in use only, and
+ * one that comes into use again first takes the steps that it has missed. Of those at rest, what is learned of the
+ * ones that were used last is kept. It decides nothing: what a new lane holds, what a step does and which lane may
+ * be forgotten is told by {@link Control}.
  */
 final class DestinationTable {
     private final Courier.Settings settings;
     private final Courier.Directory directory;
     private final int mostResting;
-    private final Function<Courier.DestinationKind, Lane> newLane;
-    private final Consumer<Lane> step;
-    private final ObjLongConsumer<Lane> rest;
-    private final Predicate<Lane> mayForget;
-    private final Map<Long, Destination> destinations = new HashMap<>();
-    private final Map<Long, Node> nodes = new HashMap<>();
+    private final Function<Courier.DestinationKind, Route> newLane;
+    private final Consumer<Route> step;
+    private final ObjLongConsumer<Route> rest;
+    private final Predicate<Route> mayForget;
+    private final Map<Long, DestinationState> destinations = new HashMap<>();
+    private final Map<Long, EndpointState> nodes = new HashMap<>();
     /** Destinations that the next step visits. */
-    private final Map<Long, Destination> active = new LinkedHashMap<>();
+    private final Map<Long, DestinationState> activate = new LinkedHashMap<>();
     /** The others, the one that has rested for longest first. */
-    private final Map<Long, Destination> resting = new LinkedHashMap<>();
+    private final Map<Long, DestinationState> resting = new LinkedHashMap<>();
 
     private long stepsTaken;
     private long lanesVisited;
-    private long messagesVisited;
+    private long countExaminedMessages;
 
     DestinationTable(
             final Courier.Settings settings,
             final Courier.Directory directory,
             final int mostResting,
-            final Function<Courier.DestinationKind, Lane> newLane,
-            final Consumer<Lane> step,
-            final ObjLongConsumer<Lane> rest,
-            final Predicate<Lane> mayForget) {
+            final Function<Courier.DestinationKind, Route> newLane,
+            final Consumer<Route> step,
+            final ObjLongConsumer<Route> rest,
+            final Predicate<Route> mayForget) {
         this.settings = settings;
         this.directory = directory;
         this.mostResting = mostResting;
@@ -55,32 +55,32 @@
         this.mayForget = mayForget;
     }
 
-    /** What is held and how much was visited so far. */
+    /** The destinations with state, and how much was visited so far. */
     Courier.Workload workload() {
-        return new Courier.Workload(destinations.size(), lanesVisited, messagesVisited);
+        return new Courier.Workload(destinations.size(), lanesVisited, countExaminedMessages);
     }
 
-    /** So many waiting messages were looked at. */
-    void messagesVisited(final int count) {
-        messagesVisited += count;
+    /** Counts waiting messages that were examined. */
+    void countExaminedMessages(final int count) {
+        countExaminedMessages += count;
     }
 
     /** The state of a destination as its last step left it, or null where it has none. */
-    Destination get(final long id) {
+    DestinationState get(final long id) {
         return destinations.get(id);
     }
 
-    /** A destination that something happens to; its state begins here if it has none. */
-    Destination active(final long id) {
-        Destination destination = destinations.get(id);
+    /** Makes a destination active and returns its state, which begins here if it has none. */
+    DestinationState activate(final long id) {
+        DestinationState destination = destinations.get(id);
         if (destination == null) {
-            destination = new Destination();
+            destination = new DestinationState();
             destinations.put(id, destination);
             for (final Courier.Endpoint entry : directory.endpointsOf(id)) {
                 apply(destination, entry);
             }
         }
-        if (active.putIfAbsent(id, destination) == null) {
+        if (activate.putIfAbsent(id, destination) == null) {
             resting.remove(id);
             catchUp(destination);
         }
@@ -88,37 +88,37 @@
     }
 
     /**
-     * The state of an endpoint, which begins here if it has none; null for one that the directory does not know. It may
-     * know one that its list of the destination no longer names, as long as a call to it is out.
+     * The state of an endpoint, which begins here if it has none; null for one that the directory does not know. It
+     * may know one that the list no longer names, as long as a call to it is in flight.
      */
-    Node node(final long endpoint) {
-        final Node known = nodes.get(endpoint);
+    EndpointState endpointState(final long endpoint) {
+        final EndpointState known = nodes.get(endpoint);
         final Courier.Endpoint entry = known == null ? directory.endpoint(endpoint) : known.entry;
         if (entry == null) {
             return null;
         }
-        final Destination destination = active(entry.destination());
+        final DestinationState destination = activate(entry.destination());
         if (!nodes.containsKey(endpoint)) {
             apply(destination, entry);
         }
         return nodes.get(endpoint);
     }
 
-    /** As {@link #node}, but null where there is no state; it is brought up to date. */
-    Node nodeWithState(final long endpoint) {
-        return nodes.containsKey(endpoint) ? node(endpoint) : null;
+    /** As {@link #endpointState}, but null where there is no state; it is brought up to date. */
+    EndpointState existingEndpointState(final long endpoint) {
+        return nodes.containsKey(endpoint) ? endpointState(endpoint) : null;
     }
 
     /** A second is over: visits the lanes that had calls or messages in it; what has neither rests from here on. */
     void step() {
         stepsTaken++;
-        for (final Map.Entry<Long, Destination> entry : List.copyOf(active.entrySet())) {
-            final Destination destination = entry.getValue();
-            lanesVisited += destination.lanes.size();
-            destination.lanes.forEach(step);
-            destination.steppedAt = stepsTaken;
-            if (destination.jobs == 0) {
-                active.remove(entry.getKey());
+        for (final Map.Entry<Long, DestinationState> entry : List.copyOf(activate.entrySet())) {
+            final DestinationState destination = entry.getValue();
+            lanesVisited += destination.routes.size();
+            destination.routes.forEach(step);
+            destination.lastStep = stepsTaken;
+            if (destination.openMessages == 0) {
+                activate.remove(entry.getKey());
                 resting.put(entry.getKey(), destination);
                 forgetGone(destination);
             }
@@ -127,25 +127,25 @@
     }
 
     /** Takes the steps that a destination at rest has missed, at one visit of each lane. */
-    private void catchUp(final Destination destination) {
-        final long missed = stepsTaken - destination.steppedAt;
+    private void catchUp(final DestinationState destination) {
+        final long missed = stepsTaken - destination.lastStep;
         if (missed > 0) {
-            lanesVisited += destination.lanes.size();
-            destination.lanes.forEach(lane -> rest.accept(lane, missed));
+            lanesVisited += destination.routes.size();
+            destination.routes.forEach(lane -> rest.accept(lane, missed));
         }
-        destination.steppedAt = stepsTaken;
+        destination.lastStep = stepsTaken;
     }
 
     /** Forgets what has rested for longest, where there is too much; what may not be forgotten counts as used. */
     private void forgetRested() {
         for (int excess = resting.size() - mostResting; excess > 0; excess--) {
-            final Map.Entry<Long, Destination> oldest =
+            final Map.Entry<Long, DestinationState> oldest =
                     resting.entrySet().iterator().next();
             final long id = oldest.getKey();
-            final Destination destination = oldest.getValue();
+            final DestinationState destination = oldest.getValue();
             resting.remove(id);
-            if (destination.lanes.stream().allMatch(mayForget)) {
-                destination.lanes.forEach(lane -> lane.nodes.forEach(node -> nodes.remove(node.entry.id(), node)));
+            if (destination.routes.stream().allMatch(mayForget)) {
+                destination.routes.forEach(lane -> lane.endpoints.forEach(node -> nodes.remove(node.entry.id(), node)));
                 destinations.remove(id);
             } else {
                 resting.put(id, destination);
@@ -165,19 +165,19 @@
         }
     }
 
-    private void reread(final long id, final Destination destination) {
-        destination.lanes.forEach(lane -> lane.nodes.forEach(node -> node.condition = Courier.Condition.GONE));
+    private void reread(final long id, final DestinationState destination) {
+        destination.routes.forEach(lane -> lane.endpoints.forEach(node -> node.condition = Courier.Condition.GONE));
         directory.endpointsOf(id).forEach(entry -> apply(destination, entry));
         forgetGone(destination);
     }
 
     private void apply(final Courier.Endpoint entry) {
-        final Node known = nodes.get(entry.id());
+        final EndpointState known = nodes.get(entry.id());
         if (known != null && known.entry.destination() != entry.destination()) {
             known.condition = Courier.Condition.GONE;
             nodes.remove(entry.id());
         }
-        final Destination destination = destinations.get(entry.destination());
+        final DestinationState destination = destinations.get(entry.destination());
         final boolean unknownIsGone = known == null && entry.condition() == Courier.Condition.GONE;
         if (destination != null && !unknownIsGone) {
             apply(destination, entry);
@@ -185,38 +185,38 @@
         }
     }
 
-    private void apply(final Destination destination, final Courier.Endpoint entry) {
-        Node node = nodes.get(entry.id());
+    private void apply(final DestinationState destination, final Courier.Endpoint entry) {
+        EndpointState node = nodes.get(entry.id());
         if (node == null) {
-            node = new Node(entry, lane(destination, entry), settings.classes().size());
-            node.lane.nodes.add(node);
+            node = new EndpointState(entry, lane(destination, entry), settings.classes().size());
+            node.route.endpoints.add(node);
             nodes.put(entry.id(), node);
         }
         node.condition = entry.condition();
         if (settings.weightMeaning() != Courier.WeightMeaning.NONE) {
-            node.lane.listed = entry.weight();
+            node.route.listedLimit = entry.weight();
             // What answers report is newer and nearer than the list's figure.
-            final boolean keep = node.lane.reported && node.lane.told > 0;
-            node.lane.told = keep ? node.lane.told : entry.weight();
+            final boolean keep = node.route.limitReported && node.route.limitPerSecond > 0;
+            node.route.limitPerSecond = keep ? node.route.limitPerSecond : entry.weight();
         }
     }
 
-    private Lane lane(final Destination destination, final Courier.Endpoint entry) {
+    private Route lane(final DestinationState destination, final Courier.Endpoint entry) {
         final Courier.DestinationKind kind = entry.destinationKind() < 0
                 ? new Courier.DestinationKind("", false, 1)
                 : settings.destinationKinds().get(entry.destinationKind());
-        if (kind.separateRoutes() || destination.lanes.isEmpty()) {
-            destination.lanes.add(newLane.apply(kind));
+        if (kind.separateRoutes() || destination.routes.isEmpty()) {
+            destination.routes.add(newLane.apply(kind));
         }
-        return destination.lanes.get(destination.lanes.size() - 1);
+        return destination.routes.get(destination.routes.size() - 1);
     }
 
     /** Forgets endpoints that are gone; not a route apart: listed again, it still has its wait and its outage. */
-    private void forgetGone(final Destination destination) {
-        for (final Lane lane : destination.lanes) {
-            lane.nodes.removeIf(node -> node.condition == Courier.Condition.GONE
-                    && node.inFlight == 0
-                    && !lane.kind.separateRoutes()
+    private void forgetGone(final DestinationState destination) {
+        for (final Route lane : destination.routes) {
+            lane.endpoints.removeIf(node -> node.condition == Courier.Condition.GONE
+                    && node.callsInFlight == 0
+                    && !lane.destinationKind.separateRoutes()
                     && (nodes.remove(node.entry.id(), node) || nodes.get(node.entry.id()) != node));
         }
     }
--- a/src/test/java/railspar/ControlTest.java
+++ b/src/test/java/railspar/ControlTest.java
@@ -364,7 +364,9 @@
         assertTrue(scene.closed.size() >= 2, "closed: " + scene.closed);
     }
 
-    /** Days on fukuoka-main: bursts above the limit that answers report were refused, and the waits told cost more. */
+    /**
+     * Days on fukuoka-main: bursts above the limit that answers report were refused, and the waits told cost more.
+     */
     @Test
     void callsArePacedAtTheLimitThatAnswersReport() {
         scene.list(ListUpdate.FULL, Scene.endpoint(1, DEST, "a"));
@@ -450,7 +452,9 @@
         return calls;
     }
 
-    /** Days at size: after refusals above a limit calls were spaced out for long, with nine tenths of it left again. */
+    /**
+     * Days at size: after refusals above a limit calls were spaced out for long, with nine tenths of it left again.
+     */
     @Test
     void aLimitThatHasRoomAgainIsUsedThoughCallsWereRefused() {
         final Scene one = new Scene(Scene.fleetOf(14));
@@ -570,7 +574,9 @@
         waiting.forEach(id -> assertEquals(1, shared.count(id), "all that wait go with the next call: " + id));
     }
 
-    /** Days on fukuoka-main: one slow answer over a connection idle for a moment cost a handshake a call ever after. */
+    /**
+     * Days on fukuoka-main: one slow answer over a connection idle for a moment cost a handshake a call ever after.
+     */
     @Test
     void oneFailureOverAConnectionJustUsedDoesNotMakeAllOthersSuspect() {
         scene.list(ListUpdate.FULL, Scene.endpoint(1, DEST, "a"));
@@ -961,7 +967,7 @@
                 old.end("m" + count, Courier.Result.RESET);
             }
         }
-        assertTrue(old.control.describe(Scene.DEST).contains("OUT"), old.control.describe(Scene.DEST));
+        assertTrue(old.control.describe(Scene.DEST).contains("PROBING"), old.control.describe(Scene.DEST));
         final Scene next = after(old, Scene.settings());
         for (int count = 0; count < 5; count++) {
             next.take("n" + count, 0);
--- a/src/test/java/railspar/DestinationStateTest.java
+++ b/src/test/java/railspar/DestinationStateTest.java
@@ -140,7 +140,7 @@
         }
         scene.pass(60 * Scene.SECOND);
         assertEquals(1, scene.control.workload().destinationsWithState());
-        assertTrue(scene.control.describe(7).contains("OUT"), scene.control.describe(7));
+        assertTrue(scene.control.describe(7).contains("PROBING"), scene.control.describe(7));
     }
 
     @Test
