--- a/src/test/java/railspar/node/SettingsApartTest.java
+++ b/src/test/java/railspar/node/SettingsApartTest.java
@@ -25,7 +25,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two customers' settings in one process: neither takes anything of the other, and what is absent has its default. */
+/**
+ * Two customers' settings in one process: neither takes anything of the other, and what is absent has its default.
+ */
 @Timeout(60)
 final class SettingsApartTest {
     private static final String HARBOUR = """
@@ -107,17 +109,17 @@
     @Test
     void twoCouriersInOneProcessKnowTheirOwnClassesAlone() throws Exception {
         final EventLoopGroup group =
-                new PatientLoopGroup(new DefaultThreadFactory("customers"), NioIoHandler.newFactory());
+                new MillisecondTimerLoopGroup(new DefaultThreadFactory("customers"), NioIoHandler.newFactory());
         final EventLoop loop = group.next();
         final Clock clock = new Clock();
-        final Host harbour = new Host(config(HARBOUR, "h"), loop, clock);
-        final Host clinics = new Host(config(CLINICS, "c"), loop, clock);
-        assertNull(clinics.kind("tide-warning"));
-        assertNull(harbour.kind("lab-result"));
-        assertTrue(harbour.kind("shared-name").ordered());
-        assertFalse(clinics.kind("shared-name").ordered());
-        assertEquals(Courier.Effect.SAFE, clinics.kind("shared-name").effect());
-        assertFalse(clinics.figures().text().contains("tide-warning"));
+        final MessageService harbour = new MessageService(config(HARBOUR, "h"), loop, clock);
+        final MessageService clinics = new MessageService(config(CLINICS, "c"), loop, clock);
+        assertNull(clinics.messageClass("tide-warning"));
+        assertNull(harbour.messageClass("lab-result"));
+        assertTrue(harbour.messageClass("shared-name").ordered());
+        assertFalse(clinics.messageClass("shared-name").ordered());
+        assertEquals(Courier.Effect.SAFE, clinics.messageClass("shared-name").effect());
+        assertFalse(clinics.metrics().render().contains("tide-warning"));
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
--- a/src/test/java/railspar/node/SlowAgentTest.java
+++ b/src/test/java/railspar/node/SlowAgentTest.java
@@ -113,10 +113,10 @@
         rig.start();
         headMs = TimeUnit.SECONDS.toMillis(60);
         watches.forEach(FakeServer.Connection::reset);
-        rig.await("more watches than may stand at once", () -> watches.size() > ListSubscription.MOST_WATCHES + 2);
+        rig.await("more watches than may stand at once", () -> watches.size() > ListSubscription.MAX_WATCHES + 2);
         rig.await(
                 "an end for those in excess",
-                () -> watches.stream().filter(watch -> !watch.ended).count() <= ListSubscription.MOST_WATCHES);
+                () -> watches.stream().filter(watch -> !watch.ended).count() <= ListSubscription.MAX_WATCHES);
         assertFalse(watches.get(1).ended, "the oldest that is not answered is kept");
     }
 
@@ -129,7 +129,7 @@
         headMs = TimeUnit.SECONDS.toMillis(60);
         rig.signal("STOP");
         watches.get(watches.size() - 1).chunk(drain(rig));
-        Thread.sleep(Watch.SILENT_MS + 500);
+        Thread.sleep(Watch.SILENCE_TIMEOUT_MS + 500);
         rig.signal("CONT");
         rig.await("the drain", this::isTold);
     }
--- a/src/test/java/railspar/node/StallDetectorTest.java
+++ b/src/test/java/railspar/node/StallDetectorTest.java
@@ -26,7 +26,7 @@
     @Test
     void nothingIsSentBetweenAPauseAndTheNextPassOverTheSockets() {
         nowUs += StallDetector.STALL_US + 1;
-        detector.afterReading(() -> sent.add("call"));
+        detector.afterSocketReads(() -> sent.add("call"));
         assertEquals(List.of(), sent);
         assertTrue(detector.isStalled());
         readSockets();
@@ -37,7 +37,7 @@
     @Test
     void aShortPauseHoldsNothingUp() {
         nowUs += StallDetector.STALL_US;
-        detector.afterReading(() -> sent.add("call"));
+        detector.afterSocketReads(() -> sent.add("call"));
         assertEquals(List.of("call"), sent);
         assertTrue(later.isEmpty());
     }
--- a/src/test/java/railspar/node/StartCrossingsTest.java
+++ b/src/test/java/railspar/node/StartCrossingsTest.java
@@ -31,7 +31,7 @@
             final long validUntilUs = (System.currentTimeMillis() + leftMs) * 1000;
             for (int count = 0; count < EACH; count++) {
                 assertTrue(JournalTest.takes(
-                        journal, new Held(prefix + count, "safe", null, null, 7, validUntilUs, new byte[800])));
+                        journal, new AcceptedMessage(prefix + count, "safe", null, null, 7, validUntilUs, new byte[800])));
             }
         }
     }
--- a/src/test/java/railspar/node/WatchCrossingsTest.java
+++ b/src/test/java/railspar/node/WatchCrossingsTest.java
@@ -108,9 +108,9 @@
     @Test
     void theLongestDrawsOfAllPausesStayInsideWhatCountsAsTold() {
         final long silent =
-                Discovery.SILENT_MS + Discovery.againMs(0, 1) + Discovery.FIRST_WORD_MS + Discovery.againMs(1, 1);
+                Discovery.SILENCE_TIMEOUT_MS + Discovery.retryDelayMs(0, 1) + Discovery.FIRST_RESPONSE_MS + Discovery.retryDelayMs(1, 1);
         assertTrue(silent < TOLD_MS, "a watch falls silent, and so does the call for the next one: " + silent);
-        final long returned = Discovery.FIRST_WORD_MS + Discovery.againMs(Integer.MAX_VALUE, 1);
+        final long returned = Discovery.FIRST_RESPONSE_MS + Discovery.retryDelayMs(Integer.MAX_VALUE, 1);
         assertTrue(returned < MOVED_MS, "a call and its pause began just before discovery returned: " + returned);
     }
 
--- a/src/test/java/railspar/node/WatchTest.java
+++ b/src/test/java/railspar/node/WatchTest.java
@@ -28,7 +28,7 @@
     private static final String ENTRY = "{\"host\":\"%s\",\"dial\":\"127.0.0.1:1\",\"block\":7,\"health\":\"Ready\"}";
 
     /** What the watch told. */
-    private static final class Heard implements Watch.Owner {
+    private static final class Heard implements Watch.Listener {
         private final List<String> events = new ArrayList<>();
 
         @Override
@@ -37,43 +37,43 @@
         }
 
         @Override
-        public boolean isFollowed(final Watch watch) {
+        public boolean isCurrent(final Watch watch) {
             return true;
         }
 
         @Override
-        public void take(final Watch watch, final StagedList list) {
+        public void onList(final Watch watch, final StagedList list) {
             events.add("list " + list.version() + " of " + list.size());
         }
 
         @Override
-        public void unchanged(final Watch watch, final boolean first, final boolean settled) {
+        public void onUnchanged(final Watch watch, final boolean first, final boolean settled) {
             events.add("unchanged " + first + " " + settled);
         }
 
         @Override
-        public void receiving(final Watch watch) {
+        public void onReceiving(final Watch watch) {
             events.add("receiving");
         }
 
         @Override
-        public void silent(final Watch watch) {
-            events.add("silent after " + watch.unusedBytes());
+        public void onSilent(final Watch watch) {
+            events.add("silent after " + watch.wastedBytes());
         }
 
         @Override
-        public void unusable(final String problem) {
+        public void onUnusableEntry(final String problem) {
             events.add(problem);
         }
 
         @Override
-        public void refused(final ListFormatException fault) {
+        public void onInvalidList(final ListFormatException fault) {
             events.add(fault.fault() + " " + fault.getMessage());
         }
 
         @Override
-        public void lost(final Watch watch) {
-            events.add("lost after " + watch.unusedBytes() + (watch.isSpoilt() ? " spoilt" : ""));
+        public void onEnded(final Watch watch) {
+            events.add("lost after " + watch.wastedBytes() + (watch.isInvalid() ? " spoilt" : ""));
         }
     }
 
@@ -123,10 +123,10 @@
     void aWatchThatIsSilentIsReadOn() {
         answer();
         bring("\n");
-        pass(Watch.SILENT_MS);
+        pass(Watch.SILENCE_TIMEOUT_MS);
         bring("{\"seq\":42,\"hosts\":[" + ENTRY.formatted("first") + "]}\n");
         assertEquals(List.of("unchanged true false", "silent after 0", "list 42 of 1"), heard.events);
-        pass(Watch.SILENT_MS);
+        pass(Watch.SILENCE_TIMEOUT_MS);
         assertEquals("silent after 0", heard.events.get(3));
     }
 
@@ -134,13 +134,13 @@
     void emptyLinesKeepItAlive() {
         answer();
         for (int count = 0; count < 5; count++) {
-            pass(Watch.SILENT_MS - 1);
+            pass(Watch.SILENCE_TIMEOUT_MS - 1);
             bring("\n");
         }
         assertEquals("unchanged true false", heard.events.get(0));
         assertEquals("unchanged false true", heard.events.get(1));
         assertEquals(5, heard.events.size());
-        pass(Watch.SILENT_MS - 1);
+        pass(Watch.SILENCE_TIMEOUT_MS - 1);
         assertEquals(5, heard.events.size());
         pass(1);
         assertEquals("silent after 0", heard.events.get(5));
@@ -151,7 +151,7 @@
         answer();
         bring("{\"seq\":42,\"whole\":true,\"hosts\":[" + ENTRY.formatted("first"));
         for (int piece = 0; piece < 20; piece++) {
-            pass(Watch.SILENT_MS - 1);
+            pass(Watch.SILENCE_TIMEOUT_MS - 1);
             final StringBuilder entries = new StringBuilder();
             while (entries.length() <= 1 << 16) {
                 entries.append(',').append(ENTRY.formatted(piece + "-" + entries.length()));
@@ -169,7 +169,7 @@
     void aListThatTricklesIsAsGoodAsSilent() {
         answer();
         bring("{\"seq\":42,\"hosts\":[" + ENTRY.formatted("first"));
-        for (int count = 0; count < Watch.SILENT_MS / 100 - 1; count++) {
+        for (int count = 0; count < Watch.SILENCE_TIMEOUT_MS / 100 - 1; count++) {
             pass(100);
             bring("," + ENTRY.formatted("e" + count) + "\n");
         }
