--- a/src/test/java/railspar/Scene.java
+++ b/src/test/java/railspar/ControlFixture.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** A scripted courier for tests: a made-up clock, recorded actions, and short words for the events. */
-final class Scene implements Courier.Actions {
+final class ControlFixture implements Courier.Actions {
     static final long MS = 1000;
     static final long SECOND = 1_000_000;
     static final long DEST = 57;
@@ -18,27 +18,27 @@
     final List<String> refused = new ArrayList<>();
     final List<String> failed = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
-    final List<Long> closed = new ArrayList<>();
-    int follows;
+    final List<Long> idleClosed = new ArrayList<>();
+    int listRequests;
     final Control control;
     long nowUs = 5 * SECOND;
     private final List<Long> reminders = new ArrayList<>();
     private final Map<String, Integer> outcomes = new LinkedHashMap<>();
 
-    Scene(final Courier.Settings settings) {
+    ControlFixture(final Courier.Settings settings) {
         this(settings, 42);
     }
 
-    Scene(final Courier.Settings settings, final long seed) {
+    ControlFixture(final Courier.Settings settings, final long seed) {
         this.control = new Control(settings, seed, this);
     }
 
     /** A courier that keeps what it has learned of at most so many destinations at rest. */
-    static Scene remembering(final Courier.Settings settings, final int mostResting) {
-        return new Scene(settings, 42, mostResting);
+    static ControlFixture withMaxIdleDestinations(final Courier.Settings settings, final int mostResting) {
+        return new ControlFixture(settings, 42, mostResting);
     }
 
-    private Scene(final Courier.Settings settings, final long seed, final int mostResting) {
+    private ControlFixture(final Courier.Settings settings, final long seed, final int mostResting) {
         this.control = new Control(settings, seed, this, new EndpointMap(), mostResting);
     }
 
@@ -48,9 +48,9 @@
     }
 
     /** Two endpoints of one destination, listed from the start. */
-    static Scene withTwoEndpoints(final Courier.Settings settings) {
-        final Scene scene = new Scene(settings);
-        scene.list(Courier.ListUpdate.CACHED, endpoint(1, DEST, "a"), endpoint(2, DEST, "b"));
+    static ControlFixture withTwoEndpoints(final Courier.Settings settings) {
+        final ControlFixture scene = new ControlFixture(settings);
+        scene.updateList(Courier.ListUpdate.CACHED, endpoint(1, DEST, "a"), endpoint(2, DEST, "b"));
         return scene;
     }
 
@@ -58,7 +58,7 @@
         return new Courier.Endpoint(id, Courier.Condition.LISTED, zone, 1, 0, destination);
     }
 
-    static Courier.Endpoint in(final Courier.Condition condition, final long id) {
+    static Courier.Endpoint endpointIn(final Courier.Condition condition, final long id) {
         return new Courier.Endpoint(id, condition, "a", 1, 0, DEST);
     }
 
@@ -94,7 +94,7 @@
     }
 
     /** As {@link #settings()}, with the limit told exactly. */
-    static Courier.Settings told() {
+    static Courier.Settings withNominalLimit() {
         return settings(16, 1, false, false, Courier.WeightMeaning.NOMINAL, settings().classes());
     }
 
@@ -103,12 +103,12 @@
     }
 
     /** As {@link #settings()}, with room for so many messages. */
-    static Courier.Settings roomFor(final int messages) {
+    static Courier.Settings withMaxOpenMessages(final int messages) {
         return settings(settings().courierCount(), messages);
     }
 
     /** As {@link #settings()}, in a fleet of so many couriers. */
-    static Courier.Settings fleetOf(final int couriers) {
+    static Courier.Settings withCourierCount(final int couriers) {
         return settings(couriers, settings().limits().maxOpenMessages());
     }
 
@@ -145,39 +145,39 @@
                 name, effect, zoneKeyed, inTurn, worth, 0.5, 2 * SECOND, 16 * SECOND, 6 * SECOND);
     }
 
-    void list(final Courier.ListUpdate update, final Courier.Endpoint... entries) {
+    void updateList(final Courier.ListUpdate update, final Courier.Endpoint... entries) {
         control.onListUpdate(nowUs, update, List.of(entries));
         control.decide(nowUs);
     }
 
-    void take(final String id, final int kind) {
-        take(id, kind, null, 16 * SECOND);
+    void accept(final String id, final int kind) {
+        accept(id, kind, null, 16 * SECOND);
     }
 
-    void take(final String id, final int kind, final String key, final long lifeUs) {
+    void accept(final String id, final int kind, final String key, final long lifeUs) {
         control.onMessage(nowUs, new Courier.Message(id, kind, -1, key, nowUs + lifeUs, DEST));
         control.decide(nowUs);
     }
 
     /** Takes a message for another destination. */
-    void takeFor(final String id, final int kind, final long destination) {
+    void acceptFor(final String id, final int kind, final long destination) {
         control.onMessage(nowUs, new Courier.Message(id, kind, -1, null, nowUs + 16 * SECOND, destination));
         control.decide(nowUs);
     }
 
     /** Ends the last attempt of a message. */
-    void end(final String id, final Courier.Result result) {
-        end(id, result, 0);
+    void endAttempt(final String id, final Courier.Result result) {
+        endAttempt(id, result, 0);
     }
 
-    void end(final String id, final Courier.Result result, final long waitUs) {
-        tell(id, result, waitUs);
+    void endAttempt(final String id, final Courier.Result result, final long waitUs) {
+        reportOutcome(id, result, waitUs);
         control.decide(nowUs);
     }
 
-    /** As {@link #end}, without letting the courier decide yet. */
-    void tell(final String id, final Courier.Result result, final long waitUs) {
-        final Sent last = last(id);
+    /** As {@link #endAttempt}, without letting the courier decide yet. */
+    void reportOutcome(final String id, final Courier.Result result, final long waitUs) {
+        final Sent last = lastAttempt(id);
         outcomes.merge(id, 1, Integer::sum);
         control.onOutcome(
                 nowUs,
@@ -192,15 +192,15 @@
     }
 
     /** The last attempt of a message is delivered, with a report of the limit. */
-    Courier.Outcome outcome(final String id, final Courier.ReportedLimit allowance) {
-        final Sent last = last(id);
+    Courier.Outcome deliveredWithLimit(final String id, final Courier.ReportedLimit allowance) {
+        final Sent last = lastAttempt(id);
         outcomes.merge(id, 1, Integer::sum);
         return new Courier.Outcome(
                 id, Courier.Result.DELIVERED, true, last.endpoint(), nowUs - last.atUs(), 0, allowance);
     }
 
     /** Lets time pass, with the reminders that were asked for. */
-    void pass(final long us) {
+    void advance(final long us) {
         final long until = nowUs + us;
         while (true) {
             final long next =
@@ -216,7 +216,7 @@
         }
     }
 
-    Sent last(final String id) {
+    Sent lastAttempt(final String id) {
         return sent.stream()
                 .filter(send -> send.id().equals(id))
                 .reduce((first, second) -> second)
@@ -224,11 +224,11 @@
     }
 
     /** Attempts of a message that have their outcome. */
-    long ended(final String id) {
+    long endedAttempts(final String id) {
         return outcomes.getOrDefault(id, 0);
     }
 
-    long count(final String id) {
+    long attemptCount(final String id) {
         return sent.stream().filter(send -> send.id().equals(id)).count();
     }
 
@@ -254,12 +254,12 @@
 
     @Override
     public void closeIdleConnections(final long endpoint) {
-        closed.add(endpoint);
+        idleClosed.add(endpoint);
     }
 
     @Override
     public void subscribeToList() {
-        follows++;
+        listRequests++;
     }
 
     @Override
--- a/src/test/java/railspar/DestinationStateTest.java
+++ b/src/test/java/railspar/DestinationStateTest.java
@@ -17,42 +17,42 @@
     @ParameterizedTest
     @ValueSource(ints = {100, 5_000, 20_000, 45_000})
     void stateAndStepsFollowTheDestinationsInUseAndNotTheList(final int listed) {
-        final Scene scene = listing(Scene.remembering(Scene.settings(), Integer.MAX_VALUE), listed);
+        final ControlFixture scene = listing(ControlFixture.withMaxIdleDestinations(ControlFixture.settings(), Integer.MAX_VALUE), listed);
         assertEquals(0, scene.control.workload().destinationsWithState());
         for (long destination = 0; destination < IN_USE; destination++) {
-            scene.takeFor("m" + destination, SAFE, destination);
+            scene.acceptFor("m" + destination, SAFE, destination);
         }
         assertEquals(IN_USE, scene.control.workload().destinationsWithState());
-        scene.pass(5 * Scene.SECOND);
+        scene.advance(5 * ControlFixture.SECOND);
         assertEquals(5 * IN_USE, scene.control.workload().routesVisited());
     }
 
     @Test
     void aDestinationAtRestIsNotVisited() {
-        final Scene scene = listing(new Scene(Scene.settings()), 100);
-        scene.takeFor("m", SAFE, 7);
-        scene.end("m", Courier.Result.DELIVERED);
-        scene.pass(60 * Scene.SECOND);
+        final ControlFixture scene = listing(new ControlFixture(ControlFixture.settings()), 100);
+        scene.acceptFor("m", SAFE, 7);
+        scene.endAttempt("m", Courier.Result.DELIVERED);
+        scene.advance(60 * ControlFixture.SECOND);
         assertEquals(1, scene.control.workload().routesVisited(), "the step of the second in which it was served");
     }
 
     @Test
     void whatADestinationMissedAtRestIsCaughtUpWithItsNextMessage() {
-        final Scene rested = listing(new Scene(Scene.settings()), 1);
-        final Scene watched = listing(new Scene(Scene.settings()), 1);
-        for (final Scene scene : List.of(rested, watched)) {
-            scene.takeFor("first", SAFE, 0);
-            scene.pass(Scene.SECOND / 2);
-            scene.end("first", Courier.Result.DELIVERED);
+        final ControlFixture rested = listing(new ControlFixture(ControlFixture.settings()), 1);
+        final ControlFixture watched = listing(new ControlFixture(ControlFixture.settings()), 1);
+        for (final ControlFixture scene : List.of(rested, watched)) {
+            scene.acceptFor("first", SAFE, 0);
+            scene.advance(ControlFixture.SECOND / 2);
+            scene.endAttempt("first", Courier.Result.DELIVERED);
         }
         for (int second = 0; second < 20; second++) {
-            rested.pass(Scene.SECOND);
-            watched.pass(Scene.SECOND);
+            rested.advance(ControlFixture.SECOND);
+            watched.advance(ControlFixture.SECOND);
             // Any event at a destination wakes it, so that this one sees each step as it comes.
             watched.control.onRetryAfter(watched.nowUs, 1, 0);
         }
-        for (final Scene scene : List.of(rested, watched)) {
-            scene.takeFor("second", SAFE, 0);
+        for (final ControlFixture scene : List.of(rested, watched)) {
+            scene.acceptFor("second", SAFE, 0);
         }
         assertEquals(2, rested.control.workload().routesVisited(), "its one step, and one visit to catch up");
         assertEquals(watched.control.describe(0), rested.control.describe(0));
@@ -60,28 +60,28 @@
 
     @Test
     void howLongADestinationRestedCostsNoMoreVisits() {
-        final Scene scene = listing(new Scene(Scene.settings()), 100);
+        final ControlFixture scene = listing(new ControlFixture(ControlFixture.settings()), 100);
         for (int event = 0; event < IN_USE; event++) {
-            scene.takeFor("m" + event, SAFE, event);
-            scene.end("m" + event, Courier.Result.DELIVERED);
+            scene.acceptFor("m" + event, SAFE, event);
+            scene.endAttempt("m" + event, Courier.Result.DELIVERED);
         }
-        scene.pass(340 * Scene.SECOND);
+        scene.advance(340 * ControlFixture.SECOND);
         final long before = scene.control.workload().routesVisited();
         for (int event = 0; event < IN_USE; event++) {
-            scene.takeFor("n" + event, SAFE, event);
+            scene.acceptFor("n" + event, SAFE, event);
         }
         assertEquals(before + IN_USE, scene.control.workload().routesVisited());
     }
 
     @Test
     void ofTheDestinationsAtRestThoseUsedLastAreRemembered() {
-        final Scene scene = listing(Scene.remembering(Scene.settings(), 4), 100);
+        final ControlFixture scene = listing(ControlFixture.withMaxIdleDestinations(ControlFixture.settings(), 4), 100);
         for (long destination = 0; destination < IN_USE; destination++) {
-            scene.takeFor("m" + destination, SAFE, destination);
-            scene.end("m" + destination, Courier.Result.DELIVERED);
-            scene.pass(Scene.SECOND);
+            scene.acceptFor("m" + destination, SAFE, destination);
+            scene.endAttempt("m" + destination, Courier.Result.DELIVERED);
+            scene.advance(ControlFixture.SECOND);
         }
-        scene.pass(2 * Scene.SECOND);
+        scene.advance(2 * ControlFixture.SECOND);
         assertEquals(4, scene.control.workload().destinationsWithState());
         assertTrue(scene.control.describe(IN_USE - 1).contains("window"), "the last one is remembered");
     }
@@ -89,22 +89,22 @@
     @ParameterizedTest
     @ValueSource(ints = {100, 1_000, 10_000})
     void aDecisionDoesNotReadTheDeadlinesOfMessagesThatWaitElsewhere(final int waiting) {
-        final Scene scene = listing(new Scene(Scene.roomFor(2 * waiting)), 100);
-        scene.control.onRetryAfter(scene.nowUs, 8, 10 * Scene.SECOND);
+        final ControlFixture scene = listing(new ControlFixture(ControlFixture.withMaxOpenMessages(2 * waiting)), 100);
+        scene.control.onRetryAfter(scene.nowUs, 8, 10 * ControlFixture.SECOND);
         for (int message = 0; message < waiting; message++) {
             scene.control.onMessage(
                     scene.nowUs,
-                    new Courier.Message("w" + message, SAFE, -1, null, scene.nowUs + 16 * Scene.SECOND, 7));
+                    new Courier.Message("w" + message, SAFE, -1, null, scene.nowUs + 16 * ControlFixture.SECOND, 7));
         }
         scene.control.decide(scene.nowUs);
         final long before = scene.control.workload().messagesExamined();
         for (int message = 0; message < IN_USE; message++) {
-            scene.takeFor("m" + message, SAFE, 20 + message);
-            scene.end("m" + message, Courier.Result.DELIVERED);
+            scene.acceptFor("m" + message, SAFE, 20 + message);
+            scene.endAttempt("m" + message, Courier.Result.DELIVERED);
         }
         final long visited = scene.control.workload().messagesExamined() - before;
         assertTrue(visited <= 4 * IN_USE, "visited " + visited + " with " + waiting + " waiting elsewhere");
-        scene.pass(15 * Scene.SECOND);
+        scene.advance(15 * ControlFixture.SECOND);
         assertTrue(
                 scene.control.workload().messagesExamined() > before + waiting / 2, "they are sent or ended in the end");
     }
@@ -113,15 +113,15 @@
     void aSendWeighsTheMessagesOfItsDestinationAnewAndNoOthers() {
         final int destinations = 40;
         final int each = 5;
-        final Scene scene = listing(new Scene(Scene.roomFor(1_000)), destinations);
+        final ControlFixture scene = listing(new ControlFixture(ControlFixture.withMaxOpenMessages(1_000)), destinations);
         for (int message = 0; message < destinations * each; message++) {
             scene.control.onMessage(
                     scene.nowUs,
                     new Courier.Message(
-                            "m" + message, SAFE, -1, null, scene.nowUs + 16 * Scene.SECOND, message % destinations));
+                            "m" + message, SAFE, -1, null, scene.nowUs + 16 * ControlFixture.SECOND, message % destinations));
         }
         scene.control.decide(scene.nowUs);
-        final int slots = Scene.settings().limits().maxCallsInFlight();
+        final int slots = ControlFixture.settings().limits().maxCallsInFlight();
         assertEquals(slots, scene.sent.size(), "every slot is taken");
         final long atMost = 2L * destinations * each + 2L * slots * each;
         final long visited = scene.control.workload().messagesExamined();
@@ -130,64 +130,64 @@
 
     @Test
     void anOutageIsNeverForgotten() {
-        final Scene scene = listing(Scene.remembering(Scene.settings(), 0), 100);
-        scene.takeFor("down", SAFE, 7);
+        final ControlFixture scene = listing(ControlFixture.withMaxIdleDestinations(ControlFixture.settings(), 0), 100);
+        scene.acceptFor("down", SAFE, 7);
         for (int failure = 0; failure < 8; failure++) {
-            if (scene.last("down").atUs() <= scene.nowUs && scene.count("down") > scene.ended("down")) {
-                scene.end("down", Courier.Result.NO_CONNECTION);
+            if (scene.lastAttempt("down").atUs() <= scene.nowUs && scene.attemptCount("down") > scene.endedAttempts("down")) {
+                scene.endAttempt("down", Courier.Result.NO_CONNECTION);
             }
-            scene.pass(2 * Scene.SECOND);
+            scene.advance(2 * ControlFixture.SECOND);
         }
-        scene.pass(60 * Scene.SECOND);
+        scene.advance(60 * ControlFixture.SECOND);
         assertEquals(1, scene.control.workload().destinationsWithState());
         assertTrue(scene.control.describe(7).contains("PROBING"), scene.control.describe(7));
     }
 
     @Test
     void aToldWaitHoldsForADestinationThatNothingWasSentTo() {
-        final Scene scene = listing(Scene.remembering(Scene.settings(), 0), 100);
-        scene.control.onRetryAfter(scene.nowUs, 8, 30 * Scene.SECOND);
-        scene.pass(5 * Scene.SECOND);
-        scene.takeFor("m", SAFE, 7);
-        assertEquals(0, scene.count("m"), "endpoint 8 is destination 7's, and its wait has 25 s left");
+        final ControlFixture scene = listing(ControlFixture.withMaxIdleDestinations(ControlFixture.settings(), 0), 100);
+        scene.control.onRetryAfter(scene.nowUs, 8, 30 * ControlFixture.SECOND);
+        scene.advance(5 * ControlFixture.SECOND);
+        scene.acceptFor("m", SAFE, 7);
+        assertEquals(0, scene.attemptCount("m"), "endpoint 8 is destination 7's, and its wait has 25 s left");
     }
 
     @Test
     void theFirstMessageFindsTheListAsItStandsThen() {
-        final Scene scene = listing(new Scene(Scene.settings()), 100);
+        final ControlFixture scene = listing(new ControlFixture(ControlFixture.settings()), 100);
         final Courier.Endpoint drains = new Courier.Endpoint(8, Courier.Condition.DRAINING, "a", 1, 0, 7);
-        scene.list(Courier.ListUpdate.INCREMENTAL, drains, Scene.endpoint(1_000, 7, "b"));
-        scene.takeFor("m", SAFE, 7);
-        assertEquals(1_000, scene.last("m").endpoint());
+        scene.updateList(Courier.ListUpdate.INCREMENTAL, drains, ControlFixture.endpoint(1_000, 7, "b"));
+        scene.acceptFor("m", SAFE, 7);
+        assertEquals(1_000, scene.lastAttempt("m").endpoint());
     }
 
     @Test
     void anEndpointThatMovesToAnotherDestinationGetsNothingForItsOldOne() {
-        final Scene scene = listing(new Scene(Scene.settings()), 100);
-        scene.takeFor("first", SAFE, 7);
-        scene.end("first", Courier.Result.DELIVERED);
-        scene.list(Courier.ListUpdate.INCREMENTAL, Scene.endpoint(8, 9, "a"));
-        scene.takeFor("second", SAFE, 7);
-        assertEquals(0, scene.count("second"));
+        final ControlFixture scene = listing(new ControlFixture(ControlFixture.settings()), 100);
+        scene.acceptFor("first", SAFE, 7);
+        scene.endAttempt("first", Courier.Result.DELIVERED);
+        scene.updateList(Courier.ListUpdate.INCREMENTAL, ControlFixture.endpoint(8, 9, "a"));
+        scene.acceptFor("second", SAFE, 7);
+        assertEquals(0, scene.attemptCount("second"));
     }
 
     @Test
     void aWholeListTakesOutWhatItDoesNotName() {
-        final Scene scene = listing(new Scene(Scene.settings()), 100);
-        scene.takeFor("first", SAFE, 7);
-        scene.end("first", Courier.Result.DELIVERED);
-        scene.list(Courier.ListUpdate.FULL, Scene.endpoint(1, 0, "a"));
-        scene.takeFor("second", SAFE, 7);
-        assertEquals(0, scene.count("second"));
+        final ControlFixture scene = listing(new ControlFixture(ControlFixture.settings()), 100);
+        scene.acceptFor("first", SAFE, 7);
+        scene.endAttempt("first", Courier.Result.DELIVERED);
+        scene.updateList(Courier.ListUpdate.FULL, ControlFixture.endpoint(1, 0, "a"));
+        scene.acceptFor("second", SAFE, 7);
+        assertEquals(0, scene.attemptCount("second"));
     }
 
     /** One endpoint for each destination, its id one higher. */
-    private static Scene listing(final Scene scene, final int destinations) {
+    private static ControlFixture listing(final ControlFixture scene, final int destinations) {
         final List<Courier.Endpoint> entries = new ArrayList<>();
         for (int destination = 0; destination < destinations; destination++) {
-            entries.add(Scene.endpoint(destination + 1, destination, "a"));
+            entries.add(ControlFixture.endpoint(destination + 1, destination, "a"));
         }
-        scene.list(Courier.ListUpdate.FULL, entries.toArray(Courier.Endpoint[]::new));
+        scene.updateList(Courier.ListUpdate.FULL, entries.toArray(Courier.Endpoint[]::new));
         return scene;
     }
 }
--- a/src/test/java/railspar/FleetRampTest.java
+++ b/src/test/java/railspar/FleetRampTest.java
@@ -19,7 +19,7 @@
  * what tips it, N calls in the settings' time, and what chance may add, 2 x root of N + 2.
  */
 final class FleetRampTest {
-    private static final long SECOND = Scene.SECOND;
+    private static final long SECOND = ControlFixture.SECOND;
     private static final long TICK_US = 20_000;
     private static final long CALL_US = 100_000;
     private static final long FALL_US = 2 * SECOND;
@@ -39,12 +39,12 @@
     /** A call that the destination saw, from a courier that had been told of the outage or not. */
     private record Call(long atUs, boolean told) {}
 
-    private final List<Scene> fleet = new ArrayList<>();
+    private final List<ControlFixture> fleet = new ArrayList<>();
     private final Deque<Out> out = new ArrayDeque<>();
     private final Map<Integer, Integer> seen = new HashMap<>();
     private final List<Call> calls = new ArrayList<>();
     /** Those that had a call fail there during the outage. */
-    private final Set<Scene> told = new HashSet<>();
+    private final Set<ControlFixture> told = new HashSet<>();
 
     private double room = CAPACITY;
 
@@ -66,12 +66,12 @@
                 new Courier.Limits(8, 40, 8, true, 15 * SECOND, 1, 3 * SECOND));
     }
 
-    private Scene begin(final int index, final int couriers, final long life, final double listed) {
-        final Scene one = new Scene(settings(couriers), Scene.seed(index + 1000 * (int) life));
-        one.list(
+    private ControlFixture begin(final int index, final int couriers, final long life, final double listed) {
+        final ControlFixture one = new ControlFixture(settings(couriers), ControlFixture.seed(index + 1000 * (int) life));
+        one.updateList(
                 Courier.ListUpdate.FULL,
-                new Courier.Endpoint(1, Courier.Condition.LISTED, "a", listed, 0, Scene.DEST),
-                new Courier.Endpoint(2, Courier.Condition.LISTED, "a", listed, 0, Scene.DEST));
+                new Courier.Endpoint(1, Courier.Condition.LISTED, "a", listed, 0, ControlFixture.DEST),
+                new Courier.Endpoint(2, Courier.Condition.LISTED, "a", listed, 0, ControlFixture.DEST));
         return one;
     }
 
@@ -97,9 +97,9 @@
         return atUs < DOWN_US ? 1 : Math.min(1, COLD_FROM + (1 - COLD_FROM) * (atUs - upUs) / COLD_US);
     }
 
-    private void arriveAt(final int index, final Scene one, final long atUs, final double warmth, final boolean hangs) {
+    private void arriveAt(final int index, final ControlFixture one, final long atUs, final double warmth, final boolean hangs) {
         for (int next = seen.getOrDefault(index, 0); next < one.sent.size(); next++) {
-            final Scene.Sent send = one.sent.get(next);
+            final ControlFixture.Sent send = one.sent.get(next);
             calls.add(new Call(atUs, told.contains(one)));
             if (warmth == 0) {
                 out.add(new Out(
@@ -121,9 +121,9 @@
         for (final Out call : List.copyOf(out)) {
             if (call.untilUs() <= atUs) {
                 out.remove(call);
-                final Scene one = fleet.get(call.courier());
+                final ControlFixture one = fleet.get(call.courier());
                 if (one.sent.stream().anyMatch(send -> send.id().equals(call.id()))) {
-                    one.end(call.id(), call.result());
+                    one.endAttempt(call.id(), call.result());
                     if (warmth(atUs, upUs) == 0) {
                         told.add(one);
                     }
@@ -158,22 +158,22 @@
                     final int gone = index;
                     out.removeIf(call -> call.courier() == gone);
                 }
-                final Scene one = fleet.get(index);
+                final ControlFixture one = fleet.get(index);
                 if (random.nextDouble() < 0.8 * LIMIT * shares[index] * TICK_US / SECOND) {
                     final int kind = taken % 5 < 3 ? 0 : 1;
-                    one.take("m" + taken++, kind, null, kind == 0 ? 8 * SECOND : 28 * SECOND);
+                    one.accept("m" + taken++, kind, null, kind == 0 ? 8 * SECOND : 28 * SECOND);
                 }
-                one.pass(TICK_US);
+                one.advance(TICK_US);
                 arriveAt(index, one, atUs, warmth, hangs);
             }
         }
         return worst(upUs);
     }
 
-    private Scene restarted(
-            final Scene old, final int index, final int couriers, final long seed, final double listed) {
-        final Scene fresh = begin(index + couriers, couriers, seed, listed);
-        fresh.pass(old.nowUs - fresh.nowUs);
+    private ControlFixture restarted(
+            final ControlFixture old, final int index, final int couriers, final long seed, final double listed) {
+        final ControlFixture fresh = begin(index + couriers, couriers, seed, listed);
+        fresh.advance(old.nowUs - fresh.nowUs);
         return fresh;
     }
 
--- a/src/test/java/railspar/LibraryUseTest.java
+++ b/src/test/java/railspar/LibraryUseTest.java
@@ -9,17 +9,17 @@
 
 /** The README's example as a host would write it, and what misuse does. */
 final class LibraryUseTest {
-    private final Scene transport = new Scene(Scene.settings());
+    private final ControlFixture transport = new ControlFixture(ControlFixture.settings());
 
     @Test
     void theReadmeExampleDeliversAMessage() {
         final Courier.Actions actions = transport;
-        final Courier control = new Control(Scene.settings(), 7, actions);
+        final Courier control = new Control(ControlFixture.settings(), 7, actions);
         final long nowUs = transport.nowUs;
-        control.onListUpdate(nowUs, Courier.ListUpdate.FULL, List.of(Scene.endpoint(1, Scene.DEST, "a")));
-        control.onMessage(nowUs, new Courier.Message("m", 0, -1, null, nowUs + 16 * Scene.SECOND, Scene.DEST));
+        control.onListUpdate(nowUs, Courier.ListUpdate.FULL, List.of(ControlFixture.endpoint(1, ControlFixture.DEST, "a")));
+        control.onMessage(nowUs, new Courier.Message("m", 0, -1, null, nowUs + 16 * ControlFixture.SECOND, ControlFixture.DEST));
         control.decide(nowUs);
-        assertEquals(1, transport.count("m"));
+        assertEquals(1, transport.attemptCount("m"));
         control.onOutcome(nowUs + 1, new Courier.Outcome("m", Courier.Result.DELIVERED, true, 1, 1, 0, null));
         control.decide(nowUs + 1);
         assertTrue(transport.refused.isEmpty() && transport.failed.isEmpty(), "delivered: no other answer");
@@ -27,9 +27,9 @@
 
     @Test
     void settingsThatContradictThemselvesAreRefusedWithTheirReason() {
-        final var none = assertThrows(IllegalArgumentException.class, () -> Scene.fleetOf(0));
+        final var none = assertThrows(IllegalArgumentException.class, () -> ControlFixture.withCourierCount(0));
         assertTrue(none.getMessage().contains("at least one courier"), none.getMessage());
-        assertThrows(IllegalArgumentException.class, () -> Scene.settings(0, 1, false, false));
+        assertThrows(IllegalArgumentException.class, () -> ControlFixture.settings(0, 1, false, false));
     }
 
     @Test
--- a/src/test/java/railspar/list/EndpointTableTest.java
+++ b/src/test/java/railspar/list/EndpointTableTest.java
@@ -24,7 +24,7 @@
     private final EndpointTable table = new EndpointTable();
 
     private List<String> apply(final long version, final boolean whole, final String... entries) throws IOException {
-        return ListText.apply(table, ListText.list(version, whole, entries));
+        return TestLists.apply(table, TestLists.list(version, whole, entries));
     }
 
     private List<String> namesAt(final long destination) {
@@ -40,26 +40,26 @@
                 apply(
                         1,
                         true,
-                        ListText.entry("a", AT, 7, "Ready"),
-                        ListText.entry("b", AT, 7, "Ready"),
-                        ListText.entry("c", AT, 8, "Ready")));
+                        TestLists.entry("a", AT, 7, "Ready"),
+                        TestLists.entry("b", AT, 7, "Ready"),
+                        TestLists.entry("c", AT, 8, "Ready")));
         assertEquals(
                 List.of("SAME a", "MOVED b", "CHANGED c", "ADDED d"),
                 apply(
                         2,
                         false,
-                        ListText.entry("a", AT, 7, "Ready"),
-                        ListText.entry("b", "127.0.0.1:7071", 7, "Ready"),
-                        ListText.entry("c", AT, 8, "Terminating"),
-                        ListText.entry("d", AT, 7, "Ready")));
+                        TestLists.entry("a", AT, 7, "Ready"),
+                        TestLists.entry("b", "127.0.0.1:7071", 7, "Ready"),
+                        TestLists.entry("c", AT, 8, "Terminating"),
+                        TestLists.entry("d", AT, 7, "Ready")));
         assertEquals(List.of("a", "b", "d"), namesAt(7));
         assertEquals(
                 List.of("GONE b", "removed b"),
-                apply(3, false, ListText.entry("b", AT, 7, "Gone"), ListText.entry("unknown", AT, 99, "Gone")));
+                apply(3, false, TestLists.entry("b", AT, 7, "Gone"), TestLists.entry("unknown", AT, 99, "Gone")));
         assertTrue(table.knowsDestination(99));
         assertEquals(
                 List.of("CHANGED d", "SAME c", "removed a"),
-                apply(4, true, ListText.entry("d", AT, 8, "Ready"), ListText.entry("c", AT, 8, "Terminating")));
+                apply(4, true, TestLists.entry("d", AT, 8, "Ready"), TestLists.entry("c", AT, 8, "Terminating")));
         assertEquals(List.of(), namesAt(7));
         assertEquals(List.of("c", "d"), namesAt(8));
         assertTrue(table.knowsDestination(7), "named once");
@@ -70,15 +70,15 @@
 
     @Test
     void anIdHoldsWhileItsNameIsKnownAndIsNeverGivenAgain() throws IOException {
-        apply(1, true, ListText.entry("a", AT, 7, "Ready"));
+        apply(1, true, TestLists.entry("a", AT, 7, "Ready"));
         final long first = table.idOf("a");
-        apply(2, false, ListText.entry("a", AT, 9, "Terminating"));
+        apply(2, false, TestLists.entry("a", AT, 9, "Terminating"));
         assertEquals(first, table.idOf("a"));
-        apply(3, false, ListText.entry("a", AT, 9, "Gone"));
+        apply(3, false, TestLists.entry("a", AT, 9, "Gone"));
         assertNull(table.idOf("a"));
         assertFalse(table.isListed(first));
         assertEquals("", table.nameOf(first));
-        apply(4, false, ListText.entry("b", AT, 9, "Ready"));
+        apply(4, false, TestLists.entry("b", AT, 9, "Ready"));
         assertNotEquals(first, table.idOf("b"), "its row is used again, its id is not");
         assertThrows(IllegalArgumentException.class, () -> table.zoneOf(first));
     }
@@ -90,20 +90,20 @@
         assertEquals("a", table.nameOf(id));
         apply(1, true);
         assertEquals(id, table.idOf("a"), "no list has named it, so no list takes it away");
-        assertEquals(List.of("ADDED a"), apply(2, false, ListText.entry("a", AT, 7, "Ready")));
+        assertEquals(List.of("ADDED a"), apply(2, false, TestLists.entry("a", AT, 7, "Ready")));
         assertEquals(id, table.idOf("a"));
         assertEquals(1, table.size());
     }
 
     @Test
     void anEntryThatCannotBeUsedStillSaysThatAKnownEndpointDrains() throws IOException {
-        apply(1, true, ListText.entry("a", AT, 7, "Ready"));
+        apply(1, true, TestLists.entry("a", AT, 7, "Ready"));
         final List<String> told = apply(
                 2,
                 false,
                 "{\"host\":\"a\",\"health\":\"Terminating\"}",
                 "{\"host\":\"new\",\"dial\":\"nowhere\",\"block\":8,\"health\":\"Ready\"}",
-                ListText.entry("b", AT, 8, "Ready"));
+                TestLists.entry("b", AT, 8, "Ready"));
         assertEquals("CHANGED a", told.get(1));
         assertEquals("unusable 'dial' is no address: 'nowhere'", told.get(2));
         assertEquals("ADDED b", told.get(3));
@@ -118,25 +118,25 @@
 
     @Test
     void anOlderVersionChangesNothing() throws IOException {
-        apply(5, true, ListText.entry("a", AT, 7, "Ready"));
-        final String before = ListText.describe(table);
+        apply(5, true, TestLists.entry("a", AT, 7, "Ready"));
+        final String before = TestLists.describe(table);
         final ListFormatException refused =
-                assertThrows(ListFormatException.class, () -> apply(4, true, ListText.entry("b", AT, 7, "Ready")));
+                assertThrows(ListFormatException.class, () -> apply(4, true, TestLists.entry("b", AT, 7, "Ready")));
         assertEquals(ListFormatException.Fault.OLDER_VERSION, refused.fault());
-        assertEquals(before, ListText.describe(table));
+        assertEquals(before, TestLists.describe(table));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {5_000, 10_000, 20_000, 45_000})
     void aChangeVisitsWhatItHoldsWhateverTheSizeOfTheList(final int destinations) throws IOException {
-        ListText.apply(table, ListText.fleet(1, destinations));
+        TestLists.apply(table, TestLists.fleet(1, destinations));
         final long endpoints = table.size();
         assertEquals(destinations * 17L / 10, endpoints);
         assertTrue(table.bytes() <= 80 * endpoints, table.bytes() + " bytes for " + endpoints);
         final long before = table.entriesVisited();
-        apply(2, false, ListText.entry(ListText.name(17), ListText.dial(17), 17, "Terminating"));
+        apply(2, false, TestLists.entry(TestLists.name(17), TestLists.dial(17), 17, "Terminating"));
         assertEquals(1, table.entriesVisited() - before);
-        ListText.apply(table, ListText.fleet(3, destinations));
+        TestLists.apply(table, TestLists.fleet(3, destinations));
         assertEquals(1 + 2 * endpoints, table.entriesVisited() - before, "a whole list is one pass");
     }
 
@@ -146,10 +146,10 @@
         final Map<String, Long> model = new HashMap<>();
         final Random random = new Random(19);
         for (long version = 1; version <= 4000; version++) {
-            final String name = ListText.name(random.nextInt(300));
+            final String name = TestLists.name(random.nextInt(300));
             final long destination = random.nextInt(100);
             final boolean goes = random.nextInt(3) == 0;
-            apply(version, false, ListText.entry(name, AT, destination, goes ? "Gone" : "Ready"));
+            apply(version, false, TestLists.entry(name, AT, destination, goes ? "Gone" : "Ready"));
             if (goes) {
                 model.remove(name);
             } else {
--- a/src/test/java/railspar/list/ListParserTest.java
+++ b/src/test/java/railspar/list/ListParserTest.java
@@ -15,20 +15,20 @@
 
 /** Lists in any pieces, in any order of their fields, and in all the ways in which they can be spoilt. */
 final class ListParserTest {
-    private static final String ONE = ListText.entry("e1", "127.0.0.1:7070", 7, "Ready");
-    private static final String TWO = ListText.entry("e2", "127.0.0.2:65535", 8, "Terminating");
-    private static final String GONE = ListText.entry("\u00e9-3", "10.255.0.9:1", 9, "Gone");
-    private static final String STREAM = "\n" + ListText.list(41, true, ONE, TWO) + "\r\n\n"
+    private static final String ONE = TestLists.entry("e1", "127.0.0.1:7070", 7, "Ready");
+    private static final String TWO = TestLists.entry("e2", "127.0.0.2:65535", 8, "Terminating");
+    private static final String GONE = TestLists.entry("\u00e9-3", "10.255.0.9:1", 9, "Gone");
+    private static final String STREAM = "\n" + TestLists.list(41, true, ONE, TWO) + "\r\n\n"
             + "{\n  \"hosts\": [\n    " + GONE.replace(",", ",\n      ")
             + "\n  ],\n  \"later\": {\"a\": [1, {}]},\n  \"whole\": false,\n  \"seq\": 43\n}\n\n"
-            + ListText.list(44, false, "{\"host\":\"\"}", "{\"host\":\"e4\",\"block\":\"x\",\"health\":\"odd\"}", "5");
+            + TestLists.list(44, false, "{\"host\":\"\"}", "{\"host\":\"e4\",\"block\":\"x\",\"health\":\"odd\"}", "5");
 
     private static Fault fault(final String text) {
-        return fault(text, ListText.BUDGET);
+        return fault(text, TestLists.BUDGET);
     }
 
     private static Fault fault(final String text, final long budget) {
-        final ListText.Told told = new ListText.Told();
+        final TestLists.ParsedLists told = new TestLists.ParsedLists();
         final ListParser parser = new ListParser(budget, told);
         final byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         final ListFormatException fault = assertThrows(ListFormatException.class, () -> {
@@ -41,7 +41,7 @@
 
     @Test
     void readsObjectsHeartbeatsAndFieldsInAnyOrder() throws IOException {
-        final List<String> events = ListText.parse(STREAM).events;
+        final List<String> events = TestLists.parse(STREAM).events;
         assertEquals("heartbeat", events.get(0));
         assertEquals(
                 "list 41 true e1 LISTED to 7 at 7f000001:7070 z7 m1 1.5; "
@@ -58,12 +58,12 @@
 
     @Test
     void piecesOfAnySizeGiveTheSame() throws IOException {
-        final List<String> atOnce = ListText.parse(STREAM).events;
+        final List<String> atOnce = TestLists.parse(STREAM).events;
         final byte[] bytes = STREAM.getBytes(StandardCharsets.UTF_8);
         final Random random = new Random(19);
         for (int round = 0; round < 200; round++) {
-            final ListText.Told told = new ListText.Told();
-            final ListParser parser = new ListParser(ListText.BUDGET, told);
+            final TestLists.ParsedLists told = new TestLists.ParsedLists();
+            final ListParser parser = new ListParser(TestLists.BUDGET, told);
             int at = 0;
             while (at < bytes.length) {
                 final int length = round == 0 ? 1 : Math.min(bytes.length - at, 1 + random.nextInt(round));
@@ -76,11 +76,11 @@
 
     @Test
     void whatBreaksOffAnywhereGivesNothingAway() throws IOException {
-        final String list = ListText.list(41, true, ONE, TWO);
+        final String list = TestLists.list(41, true, ONE, TWO);
         final byte[] bytes = list.trim().getBytes(StandardCharsets.UTF_8);
         for (int length = 1; length < bytes.length; length++) {
-            final ListText.Told told = new ListText.Told();
-            final ListParser parser = new ListParser(ListText.BUDGET, told);
+            final TestLists.ParsedLists told = new TestLists.ParsedLists();
+            final ListParser parser = new ListParser(TestLists.BUDGET, told);
             parser.feed(bytes, 0, length);
             assertTrue(parser.isWithinObject());
             assertEquals(
@@ -112,16 +112,16 @@
 
     @Test
     void anEndpointNamedTwiceSpoilsItsObject() {
-        assertEquals(Fault.REPEATED_ENTRY, fault(ListText.list(41, true, ONE, TWO, ONE)));
+        assertEquals(Fault.REPEATED_ENTRY, fault(TestLists.list(41, true, ONE, TWO, ONE)));
         assertEquals(
                 Fault.REPEATED_ENTRY,
-                fault(ListText.fleet(1, 3000)
-                        .replace("]}", "," + ListText.entry(ListText.name(7), "1.1.1.1:1", 1, "Gone") + "]}")));
+                fault(TestLists.fleet(1, 3000)
+                        .replace("]}", "," + TestLists.entry(TestLists.name(7), "1.1.1.1:1", 1, "Gone") + "]}")));
     }
 
     @Test
     void anObjectLargerThanItsBudgetIsRefused() {
-        assertEquals(Fault.OVER_BUDGET, fault(ListText.fleet(1, 5000), 100_000));
+        assertEquals(Fault.OVER_BUDGET, fault(TestLists.fleet(1, 5000), 100_000));
     }
 
     @Test
@@ -135,7 +135,7 @@
 
     @Test
     void aStagedListOfTheTargetSizeTakesLessThanSixtyBytesAnEntry() throws IOException {
-        final StagedList list = ListText.parse(ListText.fleet(1, 45_000)).lists.get(0);
+        final StagedList list = TestLists.parse(TestLists.fleet(1, 45_000)).lists.get(0);
         assertEquals(76_500, list.size());
         assertTrue(list.bytes() < 60L * list.size(), list.bytes() + " bytes");
     }
--- a/src/test/java/railspar/list/ListStoreTest.java
+++ b/src/test/java/railspar/list/ListStoreTest.java
@@ -50,7 +50,7 @@
         }
 
         void take(final String text) throws IOException {
-            for (final StagedList list : ListText.parse(text).lists) {
+            for (final StagedList list : TestLists.parse(text).lists) {
                 TableUpdate.apply(table, list, new Kept());
                 final boolean wasWriting = store.isWriting();
                 store.commit(table);
@@ -87,7 +87,7 @@
     }
 
     private static String change(final long version, final int index, final String health) {
-        return ListText.list(version, false, ListText.entry("e" + index, AT, index % 5, health));
+        return TestLists.list(version, false, TestLists.entry("e" + index, AT, index % 5, health));
     }
 
     private long diskBytes() {
@@ -121,15 +121,15 @@
     private List<String> write() throws IOException {
         final Courier courier = new Courier(BUDGET).own();
         final List<String> states = new ArrayList<>();
-        courier.take(ListText.fleet(1, 5));
+        courier.take(TestLists.fleet(1, 5));
         courier.finish();
-        states.add(ListText.describe(courier.table));
+        states.add(TestLists.describe(courier.table));
         for (int version = 2; version <= 6; version++) {
             courier.take(change(version, version % 3, version == 5 ? "Gone" : "Ready"));
-            states.add(ListText.describe(courier.table));
+            states.add(TestLists.describe(courier.table));
         }
-        courier.take(ListText.list(7, true, ListText.entry("e9", AT, 4, "Terminating")));
-        states.add(ListText.describe(courier.table));
+        courier.take(TestLists.list(7, true, TestLists.entry("e9", AT, 4, "Terminating")));
+        states.add(TestLists.describe(courier.table));
         courier.store.disown();
         return states;
     }
@@ -137,7 +137,7 @@
     @Test
     void aRestartHasTheListAsItWas() throws IOException {
         final List<String> states = write();
-        assertEquals(states.get(states.size() - 1), ListText.describe(load()));
+        assertEquals(states.get(states.size() - 1), TestLists.describe(load()));
         assertEquals("the stored list is at 7 with 1 endpoints", log.get(0));
     }
 
@@ -162,14 +162,14 @@
                 assertEquals(-1, last, "once the base is whole, it is used");
                 continue;
             }
-            final int state = states.indexOf(ListText.describe(found));
-            assertTrue(state >= last, "at " + length + " bytes: " + ListText.describe(found));
+            final int state = states.indexOf(TestLists.describe(found));
+            assertTrue(state >= last, "at " + length + " bytes: " + TestLists.describe(found));
             last = state;
             courier.table = found;
             courier.own().take(change(99, 50, "Ready"));
             courier.finish();
             courier.store.disown();
-            assertEquals(ListText.describe(courier.table), ListText.describe(load()), "it goes on behind the cut");
+            assertEquals(TestLists.describe(courier.table), TestLists.describe(load()), "it goes on behind the cut");
         }
         assertEquals(states.size() - 2, last, "the last change needs its last byte");
         assertTrue(dropped > 100, "no base that is torn was used");
@@ -184,7 +184,7 @@
             spoilt[at] ^= 0x55;
             store(spoilt);
             final EndpointTable found = load();
-            assertTrue(found == null || states.subList(0, states.size() - 1).contains(ListText.describe(found)));
+            assertTrue(found == null || states.subList(0, states.size() - 1).contains(TestLists.describe(found)));
         }
     }
 
@@ -201,21 +201,21 @@
     @Test
     void changesWhileABaseIsWrittenAndAKillAtEachSliceLoseNothingThatWasThere() throws IOException {
         final Courier courier = new Courier(BUDGET).own();
-        courier.take(ListText.fleet(1, 2000));
+        courier.take(TestLists.fleet(1, 2000));
         int slices = 0;
         while (courier.store.isWriting()) {
             assertNull(load(), "a base that is not whole is not there");
             courier.take(change(2 + slices, slices, slices % 3 == 2 ? "Gone" : "Ready"));
-            courier.take(ListText.list(
+            courier.take(TestLists.list(
                     2 + slices,
                     false,
-                    ListText.entry(ListText.name(3000 - slices), AT, 0, "Gone"),
-                    ListText.entry(ListText.name(slices), AT, 1, "Gone")));
+                    TestLists.entry(TestLists.name(3000 - slices), AT, 0, "Gone"),
+                    TestLists.entry(TestLists.name(slices), AT, 1, "Gone")));
             courier.store.writeSlice(courier.table);
             slices++;
         }
         assertTrue(slices > 5, slices + " slices");
-        assertEquals(ListText.describe(courier.table), ListText.describe(load()));
+        assertEquals(TestLists.describe(courier.table), TestLists.describe(load()));
     }
 
     @Test
@@ -228,7 +228,7 @@
         assertTrue(Arrays.equals(before, stored()), "another process may own it");
         courier.own();
         assertFalse(courier.store.isWriting(), "a change is appended, not a base written");
-        assertEquals(ListText.describe(courier.table), ListText.describe(load()));
+        assertEquals(TestLists.describe(courier.table), TestLists.describe(load()));
     }
 
     @Test
@@ -242,28 +242,28 @@
         waiting.own();
         assertTrue(waiting.store.isWriting());
         waiting.finish();
-        assertEquals(ListText.describe(waiting.table), ListText.describe(load()));
+        assertEquals(TestLists.describe(waiting.table), TestLists.describe(load()));
     }
 
     /** Each byte of a change costs about one more for a base. */
     @Test
     void basesAreWrittenAsOftenAsTheChangesHaveGrownAsLarge() throws IOException {
         final Courier courier = new Courier(BUDGET).own();
-        courier.take(ListText.fleet(1, 1000));
+        courier.take(TestLists.fleet(1, 1000));
         courier.finish();
         final long base = stored().length;
         final int perChange = 80;
         final int changes = (int) (10 * base / perChange);
         for (int version = 2; version < 2 + changes; version++) {
-            courier.take(ListText.list(
+            courier.take(TestLists.list(
                     version,
                     false,
-                    ListText.entry(ListText.name(7), AT, 7, version % 2 == 0 ? "Ready" : "Terminating")));
+                    TestLists.entry(TestLists.name(7), AT, 7, version % 2 == 0 ? "Ready" : "Terminating")));
             courier.finish();
             assertTrue(stored().length <= 2 * base + 1024, stored().length + " bytes, the base " + base);
         }
         assertTrue(courier.bases >= 5 && courier.bases <= 12, courier.bases + " bases");
-        assertEquals(ListText.describe(courier.table), ListText.describe(load()));
+        assertEquals(TestLists.describe(courier.table), TestLists.describe(load()));
     }
 
     @Test
@@ -280,8 +280,8 @@
             assertTrue(diskBytes() <= budget, diskBytes() + " bytes");
             if (log.isEmpty()) {
                 assertEquals(
-                        ListText.describe(courier.table),
-                        ListText.describe(new ListStore(folder, SETTINGS, budget, line -> {}).load(0)));
+                        TestLists.describe(courier.table),
+                        TestLists.describe(new ListStore(folder, SETTINGS, budget, line -> {}).load(0)));
             }
         }
         assertEquals(List.of("no copy of the list is kept: it needs more than the 20000 bytes there are for it"), log);
@@ -292,11 +292,11 @@
     @Test
     void aBaseOfTheTargetSizeTakesLessThanSixtyBytesAnEndpoint() throws IOException {
         final Courier courier = new Courier(32 << 20).own();
-        courier.take(ListText.fleet(1, 45_000));
+        courier.take(TestLists.fleet(1, 45_000));
         while (courier.store.isWriting()) {
             courier.store.writeSlice(courier.table);
         }
         assertTrue(stored().length <= 60L * courier.table.size(), stored().length + " bytes");
-        assertEquals(ListText.describe(courier.table), ListText.describe(load()));
+        assertEquals(TestLists.describe(courier.table), TestLists.describe(load()));
     }
 }
--- a/src/test/java/railspar/list/ListText.java
+++ b/src/test/java/railspar/list/TestLists.java
@@ -7,10 +7,10 @@
 import java.util.TreeMap;
 
 /** Lists as discovery writes them, and what the tests read out of a table. */
-final class ListText {
+final class TestLists {
     static final long BUDGET = 64 << 20;
 
-    private ListText() {}
+    private TestLists() {}
 
     static String entry(final String host, final String dial, final long destination, final String health) {
         return "{\"host\":\"" + host + "\",\"dial\":\"" + dial + "\",\"site\":\"z" + destination % 9
@@ -41,7 +41,7 @@
     }
 
     /** What a parser told, in order. */
-    static final class Told implements ListParser.Listener {
+    static final class ParsedLists implements ListParser.Listener {
         final List<StagedList> lists = new ArrayList<>();
         final List<String> events = new ArrayList<>();
 
@@ -79,19 +79,19 @@
         return text.toString();
     }
 
-    static Told parse(final String text) throws IOException {
-        final Told told = new Told();
+    static ParsedLists parse(final String text) throws IOException {
+        final ParsedLists told = new ParsedLists();
         final byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         new ListParser(BUDGET, told).feed(bytes, 0, bytes.length);
         return told;
     }
 
     /** What an update told. */
-    static final class Changes implements TableUpdate.Listener {
+    static final class RecordedChanges implements TableUpdate.Listener {
         final EndpointTable table;
         final List<String> events = new ArrayList<>();
 
-        Changes(final EndpointTable table) {
+        RecordedChanges(final EndpointTable table) {
             this.table = table;
         }
 
@@ -112,7 +112,7 @@
     }
 
     static List<String> apply(final EndpointTable table, final String text) throws IOException {
-        final Changes changes = new Changes(table);
+        final RecordedChanges changes = new RecordedChanges(table);
         for (final StagedList list : parse(text).lists) {
             TableUpdate.apply(table, list, changes);
         }
--- a/src/test/java/railspar/node/AbstractCourierProcessTest.java
+++ b/src/test/java/railspar/node/AbstractCourierProcessTest.java
@@ -13,15 +13,15 @@
     @TempDir
     Path folder;
 
-    Rig rig;
+    CourierProcessFixture fixture;
 
     @BeforeEach
-    final void buildRig() throws IOException {
-        rig = new Rig(folder);
+    final void buildFixture() throws IOException {
+        fixture = new CourierProcessFixture(folder);
     }
 
     @AfterEach
-    final void closeRig() throws IOException {
-        rig.close();
+    final void closeFixture() throws IOException {
+        fixture.close();
     }
 }
--- a/src/test/java/railspar/node/CallCrossingsTest.java
+++ b/src/test/java/railspar/node/CallCrossingsTest.java
@@ -56,7 +56,7 @@
                         final Socket socket = server.accept();
                         final Thread reader = new Thread(() -> {
                             try {
-                                final String line = FakeServer.line(socket.getInputStream());
+                                final String line = FakeServer.readLine(socket.getInputStream());
                                 if (!line.isEmpty()) {
                                     lines.add(line);
                                 }
@@ -86,21 +86,21 @@
 
     @Test
     void aRepeatWhoseConnectionComesUpBehindItsKeysWindowIsNotWritten() throws IOException {
-        rig.connectTimeoutUs = 60_000_000;
-        rig.first.script((request, connection) -> connection.reset());
+        fixture.connectTimeoutUs = 60_000_000;
+        fixture.first.script((request, connection) -> connection.reset());
         try (Late late = new Late()) {
-            rig.hosts = Rig.host("e1", rig.first, "Ready") + "," + Rig.host("e2", late.address(), "Ready");
-            rig.start();
-            assertEquals(202, rig.handIn("m1", "brief").status());
-            rig.await("the first attempt, which may have run", () -> rig.first.requests.size() == 1);
-            final long firstNs = rig.first.requests.get(0).atNs();
-            rig.await(
+            fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + "," + CourierProcessFixture.hostEntry("e2", late.address(), "Ready");
+            fixture.start();
+            assertEquals(202, fixture.submit("m1", "brief").status());
+            fixture.await("the first attempt, which may have run", () -> fixture.first.requests.size() == 1);
+            final long firstNs = fixture.first.requests.get(0).atNs();
+            fixture.await(
                     "the end of the window",
                     () -> System.nanoTime() - firstNs > TimeUnit.MILLISECONDS.toNanos(WINDOW_MS));
             late.open();
-            rig.await("its end", () -> rig.noticed("m1", "deferred"));
+            fixture.await("its end", () -> fixture.hasNotice("m1", "deferred"));
             assertEquals(List.of(), late.lines, "nothing goes out behind the window");
-            assertEquals(1, rig.first.requests.size());
+            assertEquals(1, fixture.first.requests.size());
         }
     }
 
@@ -108,33 +108,33 @@
     void aMessageThatSurelyHasNotRunIsHeldForSevenTenthsOfItsTimeHoweverShort() throws IOException {
         final FakeServer shut = new FakeServer((request, connection) -> {});
         shut.close();
-        rig.hosts = Rig.host("e0", shut, "Ready");
-        rig.start();
+        fixture.hosts = CourierProcessFixture.hostEntry("e0", shut, "Ready");
+        fixture.start();
         final long timeMs = 2000;
         final long handedNs = System.nanoTime();
         assertEquals(
                 202,
-                rig.send(Rig.message("m1", "once").replace("20000", Long.toString(timeMs)))
+                fixture.send(CourierProcessFixture.message("m1", "once").replace("20000", Long.toString(timeMs)))
                         .status());
-        rig.await("its notice", () -> rig.noticed("m1", "deferred"));
+        fixture.await("its notice", () -> fixture.hasNotice("m1", "deferred"));
         final long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - handedNs);
         assertTrue(tookMs >= timeMs * 7 / 10, "given up after " + tookMs + " ms");
     }
 
     @Test
     void anIdWhoseNoticeIsStillOwedIsNotTakenAgain() throws IOException {
-        rig.noticeStatus = 503;
-        rig.first.script((request, connection) -> connection.reset());
-        rig.start();
-        assertEquals(202, rig.handIn("m1", "once").status());
-        rig.await("its notice, which is not confirmed", () -> rig.noticed("m1", "undeliverable"));
-        assertEquals(409, rig.handIn("m1", "once").status());
-        assertEquals(1, rig.first.requests.size());
+        fixture.noticeStatus = 503;
+        fixture.first.script((request, connection) -> connection.reset());
+        fixture.start();
+        assertEquals(202, fixture.submit("m1", "once").status());
+        fixture.await("its notice, which is not confirmed", () -> fixture.hasNotice("m1", "undeliverable"));
+        assertEquals(409, fixture.submit("m1", "once").status());
+        assertEquals(1, fixture.first.requests.size());
     }
 
     @Test
     void aMessageWhoseClientIsGoneAtItsAnswerIsNotSent() throws IOException, Config.BadConfigException {
-        final Config config = rig.config();
+        final Config config = fixture.config();
         final Clock clock = new Clock();
         final EventLoopGroup group =
                 new MillisecondTimerLoopGroup(new DefaultThreadFactory("withdrawn"), NioIoHandler.newFactory());
@@ -150,8 +150,8 @@
             host.submit(held("gone", clock), clock.nowUs() + LIFE_US, answered(() -> host.withdraw("gone")));
             host.submit(held("stays", clock), clock.nowUs() + LIFE_US, answered(() -> {}));
         });
-        rig.await("the other one's call", () -> rig.first.requests.size() == 1);
-        assertEquals(List.of("stays"), rig.first.requests.get(0).ids());
+        fixture.await("the other one's call", () -> fixture.first.requests.size() == 1);
+        assertEquals(List.of("stays"), fixture.first.requests.get(0).ids());
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
@@ -196,14 +196,14 @@
                         }
                     });
                     while (sockets.size() < 120 && !over.get()) {
-                        sockets.add(rig.connect());
+                        sockets.add(fixture.connect());
                     }
                 }
                 for (final Socket socket : sockets) {
                     socket.close();
                 }
             } catch (final IOException e) {
-                assertFalse(rig.isAlive(), "the courier still listens");
+                assertFalse(fixture.isAlive(), "the courier still listens");
             }
         });
         thread.setDaemon(true);
@@ -217,50 +217,50 @@
      * that is open from the start on.
      */
     private void warmUp() throws IOException {
-        assertEquals(202, rig.handIn("m0", "once").status());
-        rig.await("its notice", () -> rig.noticed("m0", "undeliverable"));
-        rig.await("the first report", () -> rig.log.stream().anyMatch(line -> line.contains("; open ")));
+        assertEquals(202, fixture.submit("m0", "once").status());
+        fixture.await("its notice", () -> fixture.hasNotice("m0", "undeliverable"));
+        fixture.await("the first report", () -> fixture.log.stream().anyMatch(line -> line.contains("; open ")));
     }
 
     @Test
     void withAllDescriptorsTakenByIdleClientsTheListNoticesAndHonestClientsAreServed()
             throws IOException, InterruptedException {
-        rig.discovery = "pushed";
+        fixture.discovery = "pushed";
         // Fewer than the configuration says: clients fill them long before their share of its figure.
-        rig.before = "ulimit -n 100";
-        rig.first.script((request, connection) -> connection.reset());
-        rig.start();
-        rig.await("the watch", () -> rig.watches.size() == 1);
+        fixture.shellPrefix = "ulimit -n 100";
+        fixture.first.script((request, connection) -> connection.reset());
+        fixture.start();
+        fixture.await("the watch", () -> fixture.watches.size() == 1);
         warmUp();
         final AtomicBoolean over = new AtomicBoolean();
         final Thread crowd = crowd(over);
-        rig.await(
-                "that no descriptor is left", () -> rig.log.stream().anyMatch(line -> line.contains("cannot accept")));
+        fixture.await(
+                "that no descriptor is left", () -> fixture.log.stream().anyMatch(line -> line.contains("cannot accept")));
         // The descriptor of this watch is free for a moment, and the crowd waits for it.
-        rig.watches.get(0).reset();
-        rig.await("another watch", () -> rig.watches.size() >= 2);
-        assertEquals(202, rig.handIn("m1", "once").status());
-        rig.await("its call", () -> rig.first.requests.size() == 2);
-        rig.await("its notice", () -> rig.noticed("m1", "undeliverable"));
+        fixture.watches.get(0).reset();
+        fixture.await("another watch", () -> fixture.watches.size() >= 2);
+        assertEquals(202, fixture.submit("m1", "once").status());
+        fixture.await("its call", () -> fixture.first.requests.size() == 2);
+        fixture.await("its notice", () -> fixture.hasNotice("m1", "undeliverable"));
         over.set(true);
-        crowd.join(TimeUnit.SECONDS.toMillis(Rig.PATIENCE_S));
-        assertFalse(rig.log.stream().anyMatch(line -> line.contains("IllegalStateException")), rig.log.toString());
+        crowd.join(TimeUnit.SECONDS.toMillis(CourierProcessFixture.TIMEOUT_S));
+        assertFalse(fixture.log.stream().anyMatch(line -> line.contains("IllegalStateException")), fixture.log.toString());
     }
 
     @Test
     void aCallThatFindsNoDescriptorEndsItsMessageInTime() throws IOException, InterruptedException {
-        rig.before = "ulimit -n 100";
-        rig.first.script((request, connection) -> connection.reset());
-        rig.start();
+        fixture.shellPrefix = "ulimit -n 100";
+        fixture.first.script((request, connection) -> connection.reset());
+        fixture.start();
         warmUp();
         final AtomicBoolean over = new AtomicBoolean();
         final Thread crowd = crowd(over);
-        rig.await(
-                "that no descriptor is left", () -> rig.log.stream().anyMatch(line -> line.contains("cannot accept")));
-        final String message = Rig.message("m1", "once").replace("20000", "4000");
-        assertEquals(202, rig.send(message).status());
-        rig.await("its end", () -> rig.noticed("m1", "undeliverable") || rig.noticed("m1", "deferred"));
+        fixture.await(
+                "that no descriptor is left", () -> fixture.log.stream().anyMatch(line -> line.contains("cannot accept")));
+        final String message = CourierProcessFixture.message("m1", "once").replace("20000", "4000");
+        assertEquals(202, fixture.send(message).status());
+        fixture.await("its end", () -> fixture.hasNotice("m1", "undeliverable") || fixture.hasNotice("m1", "deferred"));
         over.set(true);
-        crowd.join(TimeUnit.SECONDS.toMillis(Rig.PATIENCE_S));
+        crowd.join(TimeUnit.SECONDS.toMillis(CourierProcessFixture.TIMEOUT_S));
     }
 }
--- a/src/test/java/railspar/node/Rig.java
+++ b/src/test/java/railspar/node/CourierProcessFixture.java
@@ -21,8 +21,8 @@
 import java.util.regex.Pattern;
 
 /** A real courier as a process of its own, between fakes of the platform and of its endpoints. */
-final class Rig implements AutoCloseable {
-    static final long PATIENCE_S = 20;
+final class CourierProcessFixture implements AutoCloseable {
+    static final long TIMEOUT_S = 20;
     /** The window in which repeats of the class "brief" are dropped. */
     static final long BRIEF_WINDOW_MS = 300;
     /** A status line, which may be cut off behind its number. */
@@ -55,15 +55,15 @@
     String heap = "-Xmx64m";
 
     String discovery = "on_request";
-    String fleet = "\"balancers\":1";
+    String fleetSetting = "\"balancers\":1";
     /** Each watch begins with a line that cannot be read. */
-    boolean garbleLists;
+    boolean startWatchesWithInvalidLine;
     /** What changed while nobody watched: the first line of each watch; none at all, while discovery is silent. */
-    volatile String news = "\n";
+    volatile String firstWatchLine = "\n";
     /** What the shell does before it becomes the program. */
-    String before = "";
+    String shellPrefix = "";
     /** Whether the courier has a second address. */
-    boolean mgmt;
+    boolean hasOperatorAddress;
 
     /** Faults that its processes are started with, or null. */
     FaultPage faults;
@@ -79,19 +79,19 @@
     private int port;
     private int mgmtPort;
 
-    Rig(final Path folder) throws IOException {
+    CourierProcessFixture(final Path folder) throws IOException {
         this.folder = folder;
-        this.platform = new FakeServer(this::platform);
-        this.hosts = host("e1", first, "Ready");
+        this.platform = new FakeServer(this::answerPlatformRequest);
+        this.hosts = hostEntry("e1", first, "Ready");
     }
 
-    void platform(final FakeServer.Request request, final FakeServer.Connection connection) {
+    void answerPlatformRequest(final FakeServer.Request request, final FakeServer.Connection connection) {
         if (request.line().startsWith("POST")) {
             notices.addAll(request.text().lines().toList());
             connection.answer(noticeStatus, "");
         } else {
             connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            final String begin = garbleLists ? "{\"seq\":42,\"hosts\":[{\"ho\n" : news;
+            final String begin = startWatchesWithInvalidLine ? "{\"seq\":42,\"hosts\":[{\"ho\n" : firstWatchLine;
             if (!begin.isEmpty()) {
                 connection.chunk(begin);
             }
@@ -99,26 +99,26 @@
         }
     }
 
-    static String host(final String name, final FakeServer at, final String health) {
-        return host(name, at.address(), health);
+    static String hostEntry(final String name, final FakeServer at, final String health) {
+        return hostEntry(name, at.address(), health);
     }
 
-    static String host(final String name, final String address, final String health) {
+    static String hostEntry(final String name, final String address, final String health) {
         return "{\"host\":\"" + name + "\",\"dial\":\"" + address + "\",\"site\":\"a\",\"class\":\"std\",\"block\":7,"
                 + "\"health\":\"" + health + "\",\"share\":100.0,\"born_ms\":0}";
     }
 
     /** Tells a change of the list over the newest watch. */
-    void change(final long seq, final String host) {
-        watches.get(watches.size() - 1).chunk(line(seq, host));
+    void sendListChange(final long seq, final String host) {
+        watches.get(watches.size() - 1).chunk(listLine(seq, host));
     }
 
-    static String line(final long seq, final String host) {
+    static String listLine(final long seq, final String host) {
         return "{\"seq\":" + seq + ",\"whole\":false,\"hosts\":[" + host + "]}\n";
     }
 
     /** Starts the program and waits until it is ready. */
-    Rig start() throws IOException {
+    CourierProcessFixture start() throws IOException {
         final int before = log.size();
         launch();
         awaitReady(before);
@@ -127,7 +127,7 @@
     }
 
     private void awaitMgmt(final int before) {
-        if (mgmt) {
+        if (hasOperatorAddress) {
             await("the second address", () -> portIn("operators call at", before) > 0);
             mgmtPort = portIn("operators call at", before);
         }
@@ -139,7 +139,7 @@
     }
 
     /** Starts a second process beside the first, on the same folder; the result is the first. */
-    Process startBeside() throws IOException {
+    Process startSuccessor() throws IOException {
         final Process old = process;
         final int before = log.size();
         launch();
@@ -149,7 +149,7 @@
     }
 
     /** Ends the first of two processes, by SIGTERM or as a power cut would, and waits until the other one serves. */
-    void replace(final Process old, final boolean kill) {
+    void endOldProcess(final Process old, final boolean kill) {
         final int before = log.size();
         if (kill) {
             old.destroyForcibly();
@@ -170,23 +170,23 @@
     }
 
     /** An operator's call: what is answered, to the end of the connection. */
-    String call(final String line) throws IOException {
-        try (Socket socket = dial()) {
+    String operatorCommand(final String line) throws IOException {
+        try (Socket socket = connectToOperatorServer()) {
             socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
     /** A connection to the second address. */
-    Socket dial() throws IOException {
+    Socket connectToOperatorServer() throws IOException {
         final Socket socket = new Socket("127.0.0.1", mgmtPort);
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
         return socket;
     }
 
     /** One of the figures that operators fetch, or -1. */
-    long figure(final String name) throws IOException {
-        return call("DUMP")
+    long metric(final String name) throws IOException {
+        return operatorCommand("DUMP")
                 .lines()
                 .filter(line -> line.startsWith("edge_proxy." + name + "="))
                 .findFirst()
@@ -195,7 +195,7 @@
     }
 
     /** Writes the file of the configuration, with that platform in it. */
-    Path configure(final FakeServer at) throws IOException {
+    Path writeConfig(final FakeServer at) throws IOException {
         final Path config = folder.resolve("config.json");
         Files.writeString(config, """
                 {"name":"n0","listen":"127.0.0.1:0",%s"discovery":"%s","seed":"8c1f30d27a5be964",
@@ -206,12 +206,12 @@
                   "guarantees":{"must_ask_in":10000000,"cold_from":0.5,"cold":1000000,"tip_multiple":2.0},
                   "limits":{"max_open":%d,"most_tries":8,"cancel":true,"idle_close":10000000,"retry_after":true,
                    "connect_timeout":%d,"max_retry_after":2000000},%s}}""".formatted(
-                        mgmt ? "\"mgmt\":\"127.0.0.1:0\"," : "",
+                        hasOperatorAddress ? "\"mgmt\":\"127.0.0.1:0\"," : "",
                         at.address(),
                         sockets,
                         diskMb,
                         hosts,
-                        fleet,
+                        fleetSetting,
                         discovery,
                         CLASSES,
                         maxOpen,
@@ -224,19 +224,19 @@
     Config config() throws IOException, Config.BadConfigException {
         return Config.read(java.util.Map.of(
                 "PROXY_CONFIG",
-                configure(platform).toString(),
+                writeConfig(platform).toString(),
                 "PROXY_STATE",
                 folder.resolve("state").toString()));
     }
 
     /** Replaces the configuration and sends SIGHUP. */
     void reload(final FakeServer at) throws IOException, InterruptedException {
-        configure(at);
+        writeConfig(at);
         hangUp();
     }
 
     /** Replaces the configuration by something that cannot be read, and sends SIGHUP. */
-    void reloadTorn() throws IOException, InterruptedException {
+    void reloadTruncatedConfig() throws IOException, InterruptedException {
         Files.writeString(folder.resolve("config.json"), "{\"name\":");
         hangUp();
     }
@@ -249,7 +249,7 @@
     void signal(final String name) throws IOException, InterruptedException {
         assertTrue(new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
                 .start()
-                .waitFor(PATIENCE_S, TimeUnit.SECONDS));
+                .waitFor(TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     boolean isAlive() {
@@ -263,7 +263,7 @@
 
     /** Starts the program without waiting for anything. */
     Process launch() throws IOException {
-        final Path config = configure(platform);
+        final Path config = writeConfig(platform);
         final List<String> command = new ArrayList<>(List.of(
                 System.getProperty("java.home") + "/bin/java",
                 heap,
@@ -272,8 +272,8 @@
                 "-cp",
                 System.getProperty("java.class.path"),
                 "railspar.node.Main"));
-        if (!before.isEmpty()) {
-            command.addAll(0, List.of("/bin/sh", "-c", before + "; exec \"$0\" \"$@\""));
+        if (!shellPrefix.isEmpty()) {
+            command.addAll(0, List.of("/bin/sh", "-c", shellPrefix + "; exec \"$0\" \"$@\""));
         }
         final ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().put("PROXY_CONFIG", config.toString());
@@ -286,7 +286,7 @@
         processes.add(process);
         final BufferedReader out =
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-        final Thread reader = new Thread(() -> out.lines().map(Rig::unstamped).forEach(log::add));
+        final Thread reader = new Thread(() -> out.lines().map(CourierProcessFixture::unstamped).forEach(log::add));
         reader.setDaemon(true);
         reader.start();
         return process;
@@ -305,7 +305,7 @@
 
     void kill() throws InterruptedException {
         process.destroyForcibly();
-        assertTrue(process.waitFor(PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(process.waitFor(TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     /** Sends SIGTERM; the result tells when it has ended. */
@@ -325,17 +325,17 @@
     }
 
     /** A message of the class that keeps its order, with its key. */
-    static String inTurn(final String id, final String key) {
+    static String orderedMessage(final String id, final String key) {
         return message(id, "turn").replace("POST /turn ", "POST /turn/" + key + " ");
     }
 
-    Answer handIn(final String id, final String kind) throws IOException {
+    Answer submit(final String id, final String kind) throws IOException {
         return send(message(id, kind));
     }
 
     Socket connect() throws IOException {
         final Socket socket = new Socket("127.0.0.1", port);
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
         return socket;
     }
 
@@ -353,7 +353,7 @@
 
     static Answer read(final InputStream in) throws IOException {
         final List<String> lines = new ArrayList<>();
-        for (String line = FakeServer.line(in); !line.isEmpty(); line = FakeServer.line(in)) {
+        for (String line = FakeServer.readLine(in); !line.isEmpty(); line = FakeServer.readLine(in)) {
             lines.add(line);
         }
         final Matcher first = STATUS.matcher(lines.isEmpty() ? "" : lines.get(0));
@@ -363,7 +363,7 @@
 
     /** Waits for something that must come, under a bound that only a failure reaches. */
     void await(final String what, final BooleanSupplier condition) {
-        final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+        final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (!condition.getAsBoolean()) {
             assertTrue(System.nanoTime() < untilNs, "never came: " + what + "; log: " + log);
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(2));
@@ -371,17 +371,17 @@
     }
 
     /** Waits until a figure says so. */
-    void awaitFigure(final String name, final long value) {
+    void awaitMetric(final String name, final long value) {
         await(name + " " + value, () -> {
             try {
-                return figure(name) == value;
+                return metric(name) == value;
             } catch (final IOException e) {
                 throw new UncheckedIOException(e);
             }
         });
     }
 
-    boolean noticed(final String id, final String status) {
+    boolean hasNotice(final String id, final String status) {
         return notices.stream().anyMatch(line -> line.contains('"' + id + '"') && line.contains(status));
     }
 
--- a/src/test/java/railspar/node/DiscoveryTest.java
+++ b/src/test/java/railspar/node/DiscoveryTest.java
@@ -44,9 +44,9 @@
         final EventLoop loop = group.next();
         final String text = CONFIG.formatted(
                 folder.resolve("state"),
-                Rig.host("e1", "127.0.0.1:11", "Ready"),
-                Rig.host("e2", "127.0.0.1:12", "Terminating").replace("std", "bulk"),
-                Rig.host("e3", "127.0.0.1:13", "Ready").replace("\"block\":7", "\"block\":8"));
+                CourierProcessFixture.hostEntry("e1", "127.0.0.1:11", "Ready"),
+                CourierProcessFixture.hostEntry("e2", "127.0.0.1:12", "Terminating").replace("std", "bulk"),
+                CourierProcessFixture.hostEntry("e3", "127.0.0.1:13", "Ready").replace("\"block\":7", "\"block\":8"));
         final Config config = Config.parse(new ObjectMapper().readTree(text), Map.of());
         host = new MessageService(config, loop, new Clock());
         discovery = new Discovery(config, loop, host);
--- a/src/test/java/railspar/node/FailedWriteTest.java
+++ b/src/test/java/railspar/node/FailedWriteTest.java
@@ -18,30 +18,32 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** One write on a socket of a real courier fails, on its way to an endpoint or to a client: what that is taken for. */
+/**
+ * One write on a socket of a real courier fails, on its way to an endpoint or to a client: what that is taken for.
+ */
 final class FailedWriteTest extends AbstractCourierProcessTest {
     private static final String REQUEST_IN_DOUBT = "the request may have left";
     private static final String ANSWER_IN_DOUBT = "its client may have read that it is taken on";
 
     @BeforeEach
     void preload() throws IOException, InterruptedException {
-        rig.faults = new FaultPage(folder, folder.resolve("state"));
-        rig.discovery = "pushed";
-        rig.hosts = Rig.host("e1", rig.first, "Ready") + "," + Rig.host("e2", rig.second, "Ready");
-        rig.start();
+        fixture.faults = new FaultPage(folder, folder.resolve("state"));
+        fixture.discovery = "pushed";
+        fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + "," + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
+        fixture.start();
     }
 
     private void failSends(final long scope, final int error, final long effect) {
-        rig.faults.set(Fault.SOCKET_SCOPE, scope).set(Fault.SEND_EFFECT, effect).set(Fault.SEND_ERRNO, error);
+        fixture.faults.set(Fault.SOCKET_SCOPE, scope).set(Fault.SEND_EFFECT, effect).set(Fault.SEND_ERRNO, error);
     }
 
     private void awaitLog(final String words) {
-        rig.await(words, () -> rig.log.stream().anyMatch(line -> line.contains(words)));
+        fixture.await(words, () -> fixture.log.stream().anyMatch(line -> line.contains(words)));
     }
 
     /** Requests that have come whole with a message. */
     private long received(final String id) {
-        return Collections.frequency(rig.first.ids(), id) + Collections.frequency(rig.second.ids(), id);
+        return Collections.frequency(fixture.first.ids(), id) + Collections.frequency(fixture.second.ids(), id);
     }
 
     @ParameterizedTest
@@ -54,10 +56,10 @@
     })
     void anUnsafeMessageWhoseRequestMayHaveLeftIsNotSentAgain(final int error, final long effect) throws IOException {
         failSends(FaultPage.CONNECTED_SOCKETS, error, effect);
-        assertEquals(202, rig.handIn("m1", "once").status());
+        assertEquals(202, fixture.submit("m1", "once").status());
         awaitLog(REQUEST_IN_DOUBT);
-        rig.faults.clear();
-        rig.await("its end", () -> rig.noticed("m1", "undeliverable"));
+        fixture.faults.clear();
+        fixture.await("its end", () -> fixture.hasNotice("m1", "undeliverable"));
         assertTrue(received("m1") <= 1, "sent " + received("m1") + " times");
     }
 
@@ -66,55 +68,55 @@
         final List<String> ids = List.of("m1", "m2", "m3");
         final List<Socket> clients = new ArrayList<>();
         for (int count = 0; count < ids.size(); count++) {
-            clients.add(rig.connect());
+            clients.add(fixture.connect());
         }
-        rig.signal("STOP");
+        fixture.signal("STOP");
         for (int count = 0; count < ids.size(); count++) {
             clients.get(count)
                     .getOutputStream()
-                    .write(Rig.message(ids.get(count), "once").getBytes(StandardCharsets.ISO_8859_1));
+                    .write(CourierProcessFixture.message(ids.get(count), "once").getBytes(StandardCharsets.ISO_8859_1));
         }
         failSends(FaultPage.CONNECTED_SOCKETS, FaultPage.EIO, FaultPage.ALL_BYTES);
-        rig.signal("CONT");
+        fixture.signal("CONT");
         for (final Socket client : clients) {
-            assertEquals(202, Rig.read(client.getInputStream()).status());
+            assertEquals(202, CourierProcessFixture.read(client.getInputStream()).status());
             client.close();
         }
         awaitLog(REQUEST_IN_DOUBT);
-        rig.faults.clear();
-        rig.await(
+        fixture.faults.clear();
+        fixture.await(
                 "their ends",
-                () -> ids.stream().allMatch(id -> rig.noticed(id, "undeliverable") || received(id) > 0 && isDone(id)));
+                () -> ids.stream().allMatch(id -> fixture.hasNotice(id, "undeliverable") || received(id) > 0 && isDone(id)));
         ids.forEach(id -> assertTrue(received(id) <= 1, id + " was sent " + received(id) + " times"));
         assertTrue(
-                rig.log.stream()
+                fixture.log.stream()
                         .anyMatch(line -> line.contains(REQUEST_IN_DOUBT) && line.matches("call of \\[\\S+, .*")),
-                rig.log.toString());
+                fixture.log.toString());
     }
 
     /** It was delivered by a call whose write did not fail. */
     private boolean isDone(final String id) {
-        return rig.log.stream().noneMatch(line -> line.contains(REQUEST_IN_DOUBT) && line.contains(id));
+        return fixture.log.stream().noneMatch(line -> line.contains(REQUEST_IN_DOUBT) && line.contains(id));
     }
 
     @Test
     void aSafeMessageWhoseRequestMayHaveLeftIsSentAgain() throws IOException {
         failSends(FaultPage.CONNECTED_SOCKETS, FaultPage.EIO, FaultPage.NO_BYTES);
-        assertEquals(202, rig.handIn("m1", "safe").status());
+        assertEquals(202, fixture.submit("m1", "safe").status());
         awaitLog(REQUEST_IN_DOUBT);
-        rig.faults.clear();
-        rig.await("its delivery", () -> received("m1") > 0);
+        fixture.faults.clear();
+        fixture.await("its delivery", () -> received("m1") > 0);
     }
 
     @Test
     void aKeyedMessageWhoseRequestMayHaveLeftIsNotSentAgainBehindItsKeysWindow() throws Exception {
         failSends(FaultPage.CONNECTED_SOCKETS, FaultPage.EIO, FaultPage.ALL_BYTES);
-        assertEquals(202, rig.handIn("m1", "brief").status());
+        assertEquals(202, fixture.submit("m1", "brief").status());
         awaitLog(REQUEST_IN_DOUBT);
-        TimeUnit.MILLISECONDS.sleep(Rig.BRIEF_WINDOW_MS);
+        TimeUnit.MILLISECONDS.sleep(CourierProcessFixture.BRIEF_WINDOW_MS);
         final long before = received("m1");
-        rig.faults.clear();
-        rig.await("its end", () -> rig.noticed("m1", "deferred"));
+        fixture.faults.clear();
+        fixture.await("its end", () -> fixture.hasNotice("m1", "deferred"));
         assertEquals(before, received("m1"));
     }
 
@@ -122,48 +124,48 @@
     @ValueSource(longs = {FaultPage.ALL_BYTES, FaultPage.HALF_OF_THE_BYTES})
     void aMessageWhoseClientHasReadThatItIsTakenOnIsDelivered(final long effect) throws IOException {
         failSends(FaultPage.ACCEPTED_SOCKETS, FaultPage.EIO, effect);
-        assertEquals(202, rig.handIn("m1", "once").status());
+        assertEquals(202, fixture.submit("m1", "once").status());
         awaitLog(ANSWER_IN_DOUBT);
-        rig.faults.clear();
-        rig.await("its delivery", () -> received("m1") == 1);
+        fixture.faults.clear();
+        fixture.await("its delivery", () -> received("m1") == 1);
     }
 
     @Test
     void aMessageWhoseClientHasReadThatItIsTakenOnIsDeliveredThoughTheProcessIsKilled() throws Exception {
-        rig.first.script((request, connection) -> connection.answer(503, ""));
-        rig.second.script((request, connection) -> connection.answer(503, ""));
+        fixture.first.script((request, connection) -> connection.answer(503, ""));
+        fixture.second.script((request, connection) -> connection.answer(503, ""));
         failSends(FaultPage.ACCEPTED_SOCKETS, FaultPage.EIO, FaultPage.ALL_BYTES);
-        assertEquals(202, rig.handIn("m1", "once").status());
+        assertEquals(202, fixture.submit("m1", "once").status());
         awaitLog(ANSWER_IN_DOUBT);
-        rig.kill();
-        rig.faults.clear();
-        rig.first.script((request, connection) -> connection.accept(request));
-        rig.second.script((request, connection) -> connection.accept(request));
+        fixture.kill();
+        fixture.faults.clear();
+        fixture.first.script((request, connection) -> connection.accept(request));
+        fixture.second.script((request, connection) -> connection.accept(request));
         final long before = received("m1");
-        rig.start();
-        rig.await("its call by the next process", () -> received("m1") > before);
+        fixture.start();
+        fixture.await("its call by the next process", () -> received("m1") > before);
     }
 
     @Test
     void aNoticeWhoseRequestMayHaveLeftIsToldAgainAndItsMessageIsNotSent() throws IOException {
-        rig.second.script((request, connection) -> {
-            rig.faults.set(Fault.SEND_EFFECT, FaultPage.ALL_BYTES).set(Fault.SEND_ERRNO, FaultPage.EIO);
+        fixture.second.script((request, connection) -> {
+            fixture.faults.set(Fault.SEND_EFFECT, FaultPage.ALL_BYTES).set(Fault.SEND_ERRNO, FaultPage.EIO);
             connection.answer(410, "");
         });
-        rig.first.script((request, connection) -> {
-            rig.faults.set(Fault.SEND_EFFECT, FaultPage.ALL_BYTES).set(Fault.SEND_ERRNO, FaultPage.EIO);
+        fixture.first.script((request, connection) -> {
+            fixture.faults.set(Fault.SEND_EFFECT, FaultPage.ALL_BYTES).set(Fault.SEND_ERRNO, FaultPage.EIO);
             connection.answer(410, "");
         });
-        assertEquals(202, rig.handIn("m1", "safe").status());
-        rig.await("its notice", () -> rig.noticed("m1", "undeliverable"));
-        rig.faults.clear();
-        final int told = rig.notices.size();
-        rig.await("its notice again", () -> rig.notices.size() > told);
+        assertEquals(202, fixture.submit("m1", "safe").status());
+        fixture.await("its notice", () -> fixture.hasNotice("m1", "undeliverable"));
+        fixture.faults.clear();
+        final int told = fixture.notices.size();
+        fixture.await("its notice again", () -> fixture.notices.size() > told);
         assertEquals(1, received("m1"));
         assertEquals(Set.of(), Set.copyOf(violations()));
     }
 
     private List<String> violations() {
-        return rig.log.stream().filter(line -> line.contains("violation")).toList();
+        return fixture.log.stream().filter(line -> line.contains("violation")).toList();
     }
 }
--- a/src/test/java/railspar/node/FakeServer.java
+++ b/src/test/java/railspar/node/FakeServer.java
@@ -100,12 +100,12 @@
     }
 
     private static Request read(final InputStream in, final Connection connection) throws IOException {
-        final String line = line(in);
+        final String line = readLine(in);
         if (line.isEmpty()) {
             return null;
         }
         final Map<String, String> headers = new TreeMap<>();
-        for (String header = line(in); !header.isEmpty(); header = line(in)) {
+        for (String header = readLine(in); !header.isEmpty(); header = readLine(in)) {
             final int colon = header.indexOf(':');
             if (colon < 0) {
                 throw new EOFException("a request breaks off in its head");
@@ -122,7 +122,7 @@
         return new Request(line, headers, body, connection, System.nanoTime());
     }
 
-    static String line(final InputStream in) throws IOException {
+    static String readLine(final InputStream in) throws IOException {
         final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         for (int next = in.read(); next >= 0 && next != '\n'; next = in.read()) {
             bytes.write(next);
--- a/src/test/java/railspar/node/FolderFaultsTest.java
+++ b/src/test/java/railspar/node/FolderFaultsTest.java
@@ -26,9 +26,9 @@
     @BeforeEach
     void preload() throws IOException, InterruptedException {
         final Path state = folder.resolve("state");
-        rig.faults = new FaultPage(folder, state);
-        rig.discovery = "pushed";
-        rig.maxOpen = 200;
+        fixture.faults = new FaultPage(folder, state);
+        fixture.discovery = "pushed";
+        fixture.maxOpen = 200;
     }
 
     /** Has the courier take messages on that no endpoint answers. */
@@ -36,15 +36,15 @@
         final List<String> ids = new ArrayList<>();
         for (int count = 0; count < EACH; count++) {
             final String id = prefix + count;
-            final String message = Rig.message(id, "safe").replace("X-Timeout-Ms: 20000", "X-Timeout-Ms: " + timeoutMs);
-            assertEquals(202, rig.send(message).status());
+            final String message = CourierProcessFixture.message(id, "safe").replace("X-Timeout-Ms: 20000", "X-Timeout-Ms: " + timeoutMs);
+            assertEquals(202, fixture.send(message).status());
             ids.add(id);
         }
         return ids;
     }
 
     private void awaitLog(final String words) {
-        rig.await(words, () -> rig.log.stream().anyMatch(line -> line.contains(words)));
+        fixture.await(words, () -> fixture.log.stream().anyMatch(line -> line.contains(words)));
     }
 
     @ParameterizedTest
@@ -52,17 +52,17 @@
             value = Fault.class,
             names = {"OPEN_ERRNO", "READ_ERRNO", "WRITE_ERRNO", "RENAME_ERRNO", "TRUNCATE_ERRNO", "UNLINK_ERRNO"})
     void aStartWaitsUntilTheFolderCanBeUsedAndLosesNothing(final Fault fault) throws Exception {
-        rig.news = Rig.line(42, Rig.host("e1", rig.first, "Terminating"));
-        rig.start();
+        fixture.firstWatchLine = CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating"));
+        fixture.start();
         final List<String> ids = takeOn("m", 20_000);
-        rig.kill();
-        rig.news = Rig.line(43, Rig.host("e1", rig.first, "Ready"));
-        rig.faults.set(fault, FaultPage.EIO).set(Fault.WRITE_EFFECT, FaultPage.NO_BYTES);
-        final Process process = rig.launch();
+        fixture.kill();
+        fixture.firstWatchLine = CourierProcessFixture.listLine(43, CourierProcessFixture.hostEntry("e1", fixture.first, "Ready"));
+        fixture.faults.set(fault, FaultPage.EIO).set(Fault.WRITE_EFFECT, FaultPage.NO_BYTES);
+        final Process process = fixture.launch();
         TimeUnit.MILLISECONDS.sleep(FAULT_MS);
-        assertTrue(process.isAlive(), "it ended: " + rig.log);
-        rig.faults.clear();
-        rig.await("a call for each", () -> Set.copyOf(rig.first.ids()).containsAll(ids));
+        assertTrue(process.isAlive(), "it ended: " + fixture.log);
+        fixture.faults.clear();
+        fixture.await("a call for each", () -> Set.copyOf(fixture.first.ids()).containsAll(ids));
     }
 
     @ParameterizedTest
@@ -70,39 +70,39 @@
             value = Fault.class,
             names = {"SOCKET_ERRNO", "BIND_ERRNO", "CONNECT_ERRNO"})
     void aStartWaitsUntilItCanListen(final Fault fault) throws Exception {
-        rig.faults.set(fault, fault == Fault.BIND_ERRNO ? FaultPage.EADDRINUSE : FaultPage.EMFILE);
-        final Process process = rig.launch();
+        fixture.faults.set(fault, fault == Fault.BIND_ERRNO ? FaultPage.EADDRINUSE : FaultPage.EMFILE);
+        final Process process = fixture.launch();
         TimeUnit.MILLISECONDS.sleep(FAULT_MS);
-        assertTrue(process.isAlive(), "it ended: " + rig.log);
-        rig.faults.clear();
+        assertTrue(process.isAlive(), "it ended: " + fixture.log);
+        fixture.faults.clear();
         awaitLog("is ready at");
     }
 
     @ParameterizedTest
     @ValueSource(ints = {HOUR_S, -HOUR_S})
     void messagesKeepTheirTimeThoughTheWallClockIsSteppedWhileNoProcessRuns(final int stepS) throws Exception {
-        rig.news = Rig.line(42, Rig.host("e1", rig.first, "Terminating"));
-        rig.start();
+        fixture.firstWatchLine = CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating"));
+        fixture.start();
         final List<String> ids = takeOn("m", 20_000);
-        rig.kill();
-        rig.faults.set(Fault.CLOCK_STEP_S, stepS);
-        rig.news = Rig.line(43, Rig.host("e1", rig.first, "Ready"));
-        rig.start();
-        rig.await("a call for each", () -> Set.copyOf(rig.first.ids()).containsAll(ids));
-        assertEquals(List.of(), rig.notices);
+        fixture.kill();
+        fixture.faults.set(Fault.CLOCK_STEP_S, stepS);
+        fixture.firstWatchLine = CourierProcessFixture.listLine(43, CourierProcessFixture.hostEntry("e1", fixture.first, "Ready"));
+        fixture.start();
+        fixture.await("a call for each", () -> Set.copyOf(fixture.first.ids()).containsAll(ids));
+        assertEquals(List.of(), fixture.notices);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {HOUR_S, -HOUR_S})
     void messagesEndInTimeThoughTheWallClockIsSteppedWhileNoProcessRuns(final int stepS) throws Exception {
-        rig.news = Rig.line(42, Rig.host("e1", rig.first, "Terminating"));
-        rig.start();
+        fixture.firstWatchLine = CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating"));
+        fixture.start();
         final List<String> ids = takeOn("m", 6_000);
         final long takenNs = System.nanoTime();
-        rig.kill();
-        rig.faults.set(Fault.CLOCK_STEP_S, stepS);
-        rig.start();
-        rig.await("a notice for each", () -> ids.stream().allMatch(id -> rig.noticed(id, "\"status\"")));
+        fixture.kill();
+        fixture.faults.set(Fault.CLOCK_STEP_S, stepS);
+        fixture.start();
+        fixture.await("a notice for each", () -> ids.stream().allMatch(id -> fixture.hasNotice(id, "\"status\"")));
         final long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - takenNs);
         assertTrue(tookMs < 6_300, "told after " + tookMs + " ms");
         assertTrue(tookMs > 3_000, "given up after " + tookMs + " ms");
@@ -110,73 +110,73 @@
 
     @Test
     void whatWasRefusedAsItsWriteFailedIsNotSentByTheNextProcess() throws Exception {
-        rig.news = Rig.line(42, Rig.host("e1", rig.first, "Terminating"));
-        rig.start();
-        rig.faults.set(Fault.WRITE_EFFECT, FaultPage.ALL_BYTES).set(Fault.WRITE_ERRNO, FaultPage.EIO);
-        final int status = rig.handIn("doubtful", "safe").status();
-        rig.kill();
-        rig.faults.clear();
-        rig.news = Rig.line(43, Rig.host("e1", rig.first, "Ready"));
-        rig.start();
-        assertEquals(202, rig.handIn("marker", "safe").status());
-        rig.await("the call", () -> rig.first.ids().contains("marker"));
+        fixture.firstWatchLine = CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating"));
+        fixture.start();
+        fixture.faults.set(Fault.WRITE_EFFECT, FaultPage.ALL_BYTES).set(Fault.WRITE_ERRNO, FaultPage.EIO);
+        final int status = fixture.submit("doubtful", "safe").status();
+        fixture.kill();
+        fixture.faults.clear();
+        fixture.firstWatchLine = CourierProcessFixture.listLine(43, CourierProcessFixture.hostEntry("e1", fixture.first, "Ready"));
+        fixture.start();
+        assertEquals(202, fixture.submit("marker", "safe").status());
+        fixture.await("the call", () -> fixture.first.ids().contains("marker"));
         assertTrue(status == 202 || status == 503, "status " + status);
-        assertEquals(status == 202, rig.first.ids().contains("doubtful"), "status " + status);
+        assertEquals(status == 202, fixture.first.ids().contains("doubtful"), "status " + status);
     }
 
     @Test
     void nothingIsPromisedWhereNeitherWritingNorReadingNorCuttingWorks() throws Exception {
-        rig.start();
-        rig.faults
+        fixture.start();
+        fixture.faults
                 .set(Fault.WRITE_EFFECT, FaultPage.ALL_BYTES)
                 .set(Fault.READ_ERRNO, FaultPage.EIO)
                 .set(Fault.TRUNCATE_ERRNO, FaultPage.EIO)
                 .set(Fault.WRITE_ERRNO, FaultPage.EIO);
-        assertEquals(500, rig.handIn("doubtful", "safe").status());
-        assertEquals(503, rig.handIn("refused", "safe").status());
-        rig.faults.clear();
-        assertEquals(202, rig.handIn("taken", "safe").status());
-        rig.await("the call", () -> rig.first.ids().contains("taken"));
-        rig.killAndRestart();
-        assertEquals(202, rig.handIn("marker", "safe").status());
-        rig.await("the call after the kill", () -> rig.first.ids().contains("marker"));
-        assertEquals(Set.of("taken", "marker"), Set.copyOf(rig.first.ids()));
+        assertEquals(500, fixture.submit("doubtful", "safe").status());
+        assertEquals(503, fixture.submit("refused", "safe").status());
+        fixture.faults.clear();
+        assertEquals(202, fixture.submit("taken", "safe").status());
+        fixture.await("the call", () -> fixture.first.ids().contains("taken"));
+        fixture.killAndRestart();
+        assertEquals(202, fixture.submit("marker", "safe").status());
+        fixture.await("the call after the kill", () -> fixture.first.ids().contains("marker"));
+        assertEquals(Set.of("taken", "marker"), Set.copyOf(fixture.first.ids()));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {0, 1})
     void whatIsTakenOnAfterACompactionThatCouldNotRenameItsFileOutlastsAKill(final long tookEffect) throws Exception {
-        rig.diskMb = 1;
-        rig.start();
-        rig.faults.set(Fault.RENAME_EFFECT, tookEffect).set(Fault.RENAME_ERRNO, FaultPage.EIO);
+        fixture.diskMb = 1;
+        fixture.start();
+        fixture.faults.set(Fault.RENAME_EFFECT, tookEffect).set(Fault.RENAME_ERRNO, FaultPage.EIO);
         final String body = "x".repeat(8000);
         final List<String> accepted = new ArrayList<>();
         for (int count = 0; count < 100; count++) {
-            if (rig.send(Rig.message("m" + count, "safe", body)).status() == 202) {
+            if (fixture.send(CourierProcessFixture.message("m" + count, "safe", body)).status() == 202) {
                 accepted.add("m" + count);
             }
         }
         assertTrue(accepted.size() > 20, "accepted: " + accepted);
-        rig.faults.clear();
-        rig.await("a call for each", () -> Set.copyOf(rig.first.ids()).containsAll(accepted));
-        rig.first.script((request, connection) -> {});
-        assertEquals(202, rig.handIn("kept", "safe").status());
-        rig.await("its first call", () -> rig.first.ids().contains("kept"));
-        rig.kill();
-        rig.first.script((request, connection) -> connection.accept(request));
-        final int before = rig.first.ids().size();
-        rig.start();
-        rig.await("its next call", () -> rig.first.ids().stream().skip(before).anyMatch("kept"::equals));
+        fixture.faults.clear();
+        fixture.await("a call for each", () -> Set.copyOf(fixture.first.ids()).containsAll(accepted));
+        fixture.first.script((request, connection) -> {});
+        assertEquals(202, fixture.submit("kept", "safe").status());
+        fixture.await("its first call", () -> fixture.first.ids().contains("kept"));
+        fixture.kill();
+        fixture.first.script((request, connection) -> connection.accept(request));
+        final int before = fixture.first.ids().size();
+        fixture.start();
+        fixture.await("its next call", () -> fixture.first.ids().stream().skip(before).anyMatch("kept"::equals));
     }
 
     @Test
     void anEndThatCannotBeRecordedIsToldInTimeAllTheSame() throws Exception {
-        rig.news = Rig.line(42, Rig.host("e1", rig.first, "Terminating"));
-        rig.start();
+        fixture.firstWatchLine = CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating"));
+        fixture.start();
         final long takenNs = System.nanoTime();
         final List<String> ids = takeOn("m", 3_000);
-        rig.faults.set(Fault.WRITE_ERRNO, FaultPage.EIO);
-        rig.await("a notice for each", () -> ids.stream().allMatch(id -> rig.noticed(id, "\"status\"")));
+        fixture.faults.set(Fault.WRITE_ERRNO, FaultPage.EIO);
+        fixture.await("a notice for each", () -> ids.stream().allMatch(id -> fixture.hasNotice(id, "\"status\"")));
         final long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - takenNs);
         assertTrue(tookMs < 3_300, "told after " + tookMs + " ms");
     }
@@ -187,32 +187,32 @@
             names = {"OPEN_ERRNO", "WRITE_ERRNO", "RENAME_ERRNO"})
     void aDrainThatCameWhileTheFolderFailedIsKnownToTheNextProcessThoughDiscoveryIsDown(final Fault fault)
             throws Exception {
-        rig.hosts = Rig.host("e1", rig.first, "Ready") + "," + Rig.host("e2", rig.second, "Ready");
-        rig.start();
-        rig.faults.set(fault, FaultPage.EIO);
-        rig.change(42, Rig.host("e1", rig.first, "Terminating"));
+        fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + "," + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
+        fixture.start();
+        fixture.faults.set(fault, FaultPage.EIO);
+        fixture.sendListChange(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating"));
         awaitLog("the list at 42");
         awaitLog("the stored list cannot be written for now");
-        rig.faults.clear();
-        rig.change(43, Rig.host("e2", rig.second, "Ready"));
+        fixture.faults.clear();
+        fixture.sendListChange(43, CourierProcessFixture.hostEntry("e2", fixture.second, "Ready"));
         awaitLog("the list at 43");
         awaitLog("the stored list is written anew");
-        rig.news = "";
-        rig.killAndRestart();
-        assertEquals(202, rig.handIn("m1", "safe").status());
-        rig.await("the call", () -> rig.second.ids().contains("m1"));
-        assertEquals(List.of(), rig.first.ids());
+        fixture.firstWatchLine = "";
+        fixture.killAndRestart();
+        assertEquals(202, fixture.submit("m1", "safe").status());
+        fixture.await("the call", () -> fixture.second.ids().contains("m1"));
+        assertEquals(List.of(), fixture.first.ids());
     }
 
     @Test
     void aConfigurationThatIsWholeOnlyAfterItsSignalIsRead() throws Exception {
-        rig.start();
-        rig.reloadTorn();
+        fixture.start();
+        fixture.reloadTruncatedConfig();
         awaitLog("reload: kept what was known before");
-        final int watches = rig.watches.size();
-        try (FakeServer moved = new FakeServer(rig::platform)) {
-            rig.configure(moved);
-            rig.await("the watch at the new address", () -> rig.watches.size() > watches);
+        final int watches = fixture.watches.size();
+        try (FakeServer moved = new FakeServer(fixture::answerPlatformRequest)) {
+            fixture.writeConfig(moved);
+            fixture.await("the watch at the new address", () -> fixture.watches.size() > watches);
         }
     }
 }
--- a/src/test/java/railspar/node/HandoverTest.java
+++ b/src/test/java/railspar/node/HandoverTest.java
@@ -34,125 +34,125 @@
 
     @Test
     void aCallThatIsOutGoesOnAndTheNextOfItsKeyWaitsForItAcrossTheTwo() throws IOException, InterruptedException {
-        silentTo(rig.first, "m1");
-        rig.start();
-        assertEquals(202, rig.send(Rig.inTurn("m1", "k")).status());
-        rig.await("the call", () -> rig.first.requests.size() == 1);
-        final Process old = rig.startBeside();
-        rig.replace(old, false);
-        assertEquals(202, rig.send(Rig.inTurn("m2", "k")).status());
-        assertEquals(202, rig.handIn("m3", "safe").status());
-        rig.await("another one's call", () -> rig.first.ids().contains("m3"));
-        assertEquals(List.of("m1", "m3"), rig.first.ids(), "the key is taken");
-        rig.first.requests.get(0).connection().answer(200, "");
-        rig.await("its turn", () -> rig.first.ids().contains("m2"));
-        assertEquals(1, rig.first.ids().stream().filter("m1"::equals).count());
+        silentTo(fixture.first, "m1");
+        fixture.start();
+        assertEquals(202, fixture.send(CourierProcessFixture.orderedMessage("m1", "k")).status());
+        fixture.await("the call", () -> fixture.first.requests.size() == 1);
+        final Process old = fixture.startSuccessor();
+        fixture.endOldProcess(old, false);
+        assertEquals(202, fixture.send(CourierProcessFixture.orderedMessage("m2", "k")).status());
+        assertEquals(202, fixture.submit("m3", "safe").status());
+        fixture.await("another one's call", () -> fixture.first.ids().contains("m3"));
+        assertEquals(List.of("m1", "m3"), fixture.first.ids(), "the key is taken");
+        fixture.first.requests.get(0).connection().answer(200, "");
+        fixture.await("its turn", () -> fixture.first.ids().contains("m2"));
+        assertEquals(1, fixture.first.ids().stream().filter("m1"::equals).count());
         assertTrue(old.waitFor(STOP_LIMIT_MS, TimeUnit.MILLISECONDS), "with nothing out, the old one ends");
-        assertTrue(rig.notices.isEmpty(), rig.notices.toString());
+        assertTrue(fixture.notices.isEmpty(), fixture.notices.toString());
     }
 
     @Test
     void whatWasOutWhenTheOldOneIsKilledMayHaveRun() throws IOException, InterruptedException {
-        rig.first.script((request, connection) -> {});
-        rig.start();
-        assertEquals(202, rig.handIn("m1", "once").status());
-        assertEquals(202, rig.handIn("m2", "safe").status());
-        rig.await("the calls", () -> rig.first.requests.size() == 2);
-        final Process old = rig.startBeside();
-        rig.first.script((request, connection) -> connection.accept(request));
-        rig.replace(old, true);
-        rig.await("its notice", () -> rig.noticed("m1", "undeliverable"));
-        rig.await("the safe one's second call", () -> rig.first.ids().size() == 3);
-        assertEquals(List.of("m1", "m2", "m2"), rig.first.ids());
+        fixture.first.script((request, connection) -> {});
+        fixture.start();
+        assertEquals(202, fixture.submit("m1", "once").status());
+        assertEquals(202, fixture.submit("m2", "safe").status());
+        fixture.await("the calls", () -> fixture.first.requests.size() == 2);
+        final Process old = fixture.startSuccessor();
+        fixture.first.script((request, connection) -> connection.accept(request));
+        fixture.endOldProcess(old, true);
+        fixture.await("its notice", () -> fixture.hasNotice("m1", "undeliverable"));
+        fixture.await("the safe one's second call", () -> fixture.first.ids().size() == 3);
+        assertEquals(List.of("m1", "m2", "m2"), fixture.first.ids());
     }
 
     @Test
     void whatIsOutWhenTheOldOneIsKilledWhileItLeavesMayHaveRun() throws IOException, InterruptedException {
-        rig.mgmt = true;
-        rig.first.script((request, connection) -> {});
-        rig.start();
-        assertEquals(202, rig.handIn("m1", "once").status());
+        fixture.hasOperatorAddress = true;
+        fixture.first.script((request, connection) -> {});
+        fixture.start();
+        assertEquals(202, fixture.submit("m1", "once").status());
         // They travel on connections of their own: the order in which they are read is forced, not hoped for.
-        rig.await("the first call", () -> rig.first.requests.size() == 1);
-        assertEquals(202, rig.handIn("m2", "safe").status());
-        rig.await("the calls", () -> rig.first.requests.size() == 2);
-        final Process old = rig.startBeside();
-        rig.replace(old, false);
-        assertTrue(rig.notices.isEmpty(), "they are still out");
-        assertEquals(2, rig.first.requests.size());
-        rig.first.script((request, connection) -> connection.accept(request));
+        fixture.await("the first call", () -> fixture.first.requests.size() == 1);
+        assertEquals(202, fixture.submit("m2", "safe").status());
+        fixture.await("the calls", () -> fixture.first.requests.size() == 2);
+        final Process old = fixture.startSuccessor();
+        fixture.endOldProcess(old, false);
+        assertTrue(fixture.notices.isEmpty(), "they are still out");
+        assertEquals(2, fixture.first.requests.size());
+        fixture.first.script((request, connection) -> connection.accept(request));
         old.destroyForcibly();
-        rig.await("its notice", () -> rig.noticed("m1", "undeliverable"));
-        rig.awaitFigure("results.safe.succeeded", 1);
-        rig.killAndRestart();
-        assertEquals(202, rig.handIn("m3", "safe").status());
-        rig.await("m3", () -> rig.first.ids().contains("m3"));
-        assertEquals(List.of("m1", "m2", "m2", "m3"), rig.first.ids(), "a third process knows all of it");
+        fixture.await("its notice", () -> fixture.hasNotice("m1", "undeliverable"));
+        fixture.awaitMetric("results.safe.succeeded", 1);
+        fixture.killAndRestart();
+        assertEquals(202, fixture.submit("m3", "safe").status());
+        fixture.await("m3", () -> fixture.first.ids().contains("m3"));
+        assertEquals(List.of("m1", "m2", "m2", "m3"), fixture.first.ids(), "a third process knows all of it");
     }
 
     @Test
     void aWaitThatTheOldOneWasToldBindsTheNewOne() throws IOException {
         final long waitS = 4;
-        rig.first.script((request, connection) -> connection.answer(429, "", "Retry-After: " + waitS));
-        rig.start();
-        assertEquals(202, rig.handIn("m1", "safe").status());
-        rig.await("the refusal", () -> rig.first.requests.size() == 1);
-        final long toldNs = rig.first.requests.get(0).atNs();
-        rig.first.script((request, connection) -> connection.accept(request));
-        rig.replace(rig.startBeside(), false);
-        assertEquals(202, rig.handIn("m2", "safe").status());
-        rig.await("the next call", () -> rig.first.requests.size() > 1);
-        assertTrue(rig.first.requests.get(1).atNs() - toldNs >= TimeUnit.SECONDS.toNanos(waitS));
+        fixture.first.script((request, connection) -> connection.answer(429, "", "Retry-After: " + waitS));
+        fixture.start();
+        assertEquals(202, fixture.submit("m1", "safe").status());
+        fixture.await("the refusal", () -> fixture.first.requests.size() == 1);
+        final long toldNs = fixture.first.requests.get(0).atNs();
+        fixture.first.script((request, connection) -> connection.accept(request));
+        fixture.endOldProcess(fixture.startSuccessor(), false);
+        assertEquals(202, fixture.submit("m2", "safe").status());
+        fixture.await("the next call", () -> fixture.first.requests.size() > 1);
+        assertTrue(fixture.first.requests.get(1).atNs() - toldNs >= TimeUnit.SECONDS.toNanos(waitS));
     }
 
     @Test
     void aMessageOnAConnectionThatIsKeptToTheOldOneIsTakenAndDeliveredOnce() throws IOException {
-        silentTo(rig.first, "m1");
-        rig.start();
-        final Socket kept = rig.connect();
-        assertEquals(202, Rig.send(kept, Rig.inTurn("m1", "k")).status());
-        rig.await("the call", () -> rig.first.requests.size() == 1);
-        rig.replace(rig.startBeside(), false);
-        final Rig.Answer late = Rig.send(kept, Rig.inTurn("m2", "k"));
+        silentTo(fixture.first, "m1");
+        fixture.start();
+        final Socket kept = fixture.connect();
+        assertEquals(202, CourierProcessFixture.send(kept, CourierProcessFixture.orderedMessage("m1", "k")).status());
+        fixture.await("the call", () -> fixture.first.requests.size() == 1);
+        fixture.endOldProcess(fixture.startSuccessor(), false);
+        final CourierProcessFixture.Answer late = CourierProcessFixture.send(kept, CourierProcessFixture.orderedMessage("m2", "k"));
         assertEquals(202, late.status());
         assertTrue(late.head().contains("connection: close"), "and the client is sent to the new one");
-        assertEquals(202, rig.send(Rig.inTurn("m3", "k")).status());
-        rig.first.requests.get(0).connection().answer(200, "");
-        rig.await("all of them", () -> rig.first.ids().size() == 3);
-        assertEquals(List.of("m1", "m2", "m3"), rig.first.ids(), "in the order taken, by whichever process");
+        assertEquals(202, fixture.send(CourierProcessFixture.orderedMessage("m3", "k")).status());
+        fixture.first.requests.get(0).connection().answer(200, "");
+        fixture.await("all of them", () -> fixture.first.ids().size() == 3);
+        assertEquals(List.of("m1", "m2", "m3"), fixture.first.ids(), "in the order taken, by whichever process");
     }
 
     @Test
     void anIdleConnectionIsClosedAndTheOldOneEndsBeforeTheKill() throws IOException, InterruptedException {
-        rig.start();
-        final Socket idle = rig.connect();
-        assertEquals(202, Rig.send(idle, Rig.message("m1", "safe")).status());
-        final Process old = rig.startBeside();
-        rig.replace(old, false);
+        fixture.start();
+        final Socket idle = fixture.connect();
+        assertEquals(202, CourierProcessFixture.send(idle, CourierProcessFixture.message("m1", "safe")).status());
+        final Process old = fixture.startSuccessor();
+        fixture.endOldProcess(old, false);
         assertEquals(-1, idle.getInputStream().read());
         assertTrue(old.waitFor(STOP_LIMIT_MS, TimeUnit.MILLISECONDS));
     }
 
     @Test
     void aCallToEitherProcessHoldsForBoth() throws IOException {
-        rig.mgmt = true;
-        rig.hosts = Rig.host("e1", rig.first, "Ready") + "," + Rig.host("e2", rig.second, "Ready");
-        rig.start();
-        final Process old = rig.startBeside();
-        assertEquals("+OK\n", rig.call("OFFLINE e1"), "the new one, which only stands by, was called");
-        rig.await(
+        fixture.hasOperatorAddress = true;
+        fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + "," + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
+        fixture.start();
+        final Process old = fixture.startSuccessor();
+        assertEquals("+OK\n", fixture.operatorCommand("OFFLINE e1"), "the new one, which only stands by, was called");
+        fixture.await(
                 "the old one to know",
-                () -> rig.log.stream()
+                () -> fixture.log.stream()
                                 .filter(line -> line.startsWith("by hand: 1"))
                                 .count()
                         == 2);
-        assertEquals(202, rig.handIn("m1", "safe").status());
-        assertEquals(202, rig.handIn("m2", "safe").status());
-        rig.await("their calls", () -> rig.second.requests.size() == 2);
-        rig.replace(old, false);
-        assertEquals(202, rig.handIn("m3", "safe").status());
-        rig.await("its call", () -> rig.second.requests.size() == 3);
-        assertEquals(0, rig.first.requests.size());
+        assertEquals(202, fixture.submit("m1", "safe").status());
+        assertEquals(202, fixture.submit("m2", "safe").status());
+        fixture.await("their calls", () -> fixture.second.requests.size() == 2);
+        fixture.endOldProcess(old, false);
+        assertEquals(202, fixture.submit("m3", "safe").status());
+        fixture.await("its call", () -> fixture.second.requests.size() == 3);
+        assertEquals(0, fixture.first.requests.size());
     }
 
     @Test
@@ -162,10 +162,10 @@
         Files.writeString(state.resolve("next.lock"), "124");
         final Path torn = state.resolve("leaving-17-1");
         Files.writeString(torn, "torn in the middle of some");
-        rig.start();
-        assertEquals(202, rig.handIn("m1", "safe").status());
-        rig.await("the call", () -> rig.first.requests.size() == 1);
-        rig.await("the file to go", () -> !Files.exists(torn));
+        fixture.start();
+        assertEquals(202, fixture.submit("m1", "safe").status());
+        fixture.await("the call", () -> fixture.first.requests.size() == 1);
+        fixture.await("the file to go", () -> !Files.exists(torn));
     }
 
     @Test
@@ -174,7 +174,7 @@
         try (ServerSocketChannel shared = ServerSocketChannel.open()) {
             shared.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
             final EventLoop loop = group.next();
-            final Config config = rig.config();
+            final Config config = fixture.config();
             final Clock clock = new Clock();
             final ClientServer intake = new ClientServer(config, clock, new MessageService(config, loop, clock));
             loop.submit(() -> {
@@ -184,18 +184,18 @@
                     .sync();
             final InetSocketAddress at = (InetSocketAddress) shared.getLocalAddress();
             try (Socket client = new Socket(at.getAddress(), at.getPort())) {
-                client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Rig.PATIENCE_S));
+                client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(CourierProcessFixture.TIMEOUT_S));
                 assertEquals(
                         200,
-                        Rig.send(client, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status());
+                        CourierProcessFixture.send(client, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status());
             }
             assertNull(shared.accept(), "it was accepted already");
             loop.submit(() -> intake.handOver()).sync();
             try (Socket client = new Socket(at.getAddress(), at.getPort())) {
-                client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Rig.PATIENCE_S));
+                client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(CourierProcessFixture.TIMEOUT_S));
                 assertEquals(
                         200,
-                        Rig.send(client, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status(),
+                        CourierProcessFixture.send(client, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status(),
                         "nobody waits while the other process is not at the door yet");
             }
             loop.submit(() -> intake.stopAccepting()).sync();
@@ -213,7 +213,7 @@
 
     private SocketChannel acceptSoon(final ServerSocketChannel shared) throws IOException {
         final SocketChannel[] taken = new SocketChannel[1];
-        rig.await("the next connection", () -> {
+        fixture.await("the next connection", () -> {
             try {
                 taken[0] = taken[0] == null ? shared.accept() : taken[0];
                 return taken[0] != null;
--- a/src/test/java/railspar/node/MemoryCrossingsTest.java
+++ b/src/test/java/railspar/node/MemoryCrossingsTest.java
@@ -18,31 +18,31 @@
 
     @BeforeEach
     void configure() throws IOException {
-        rig.heap = "-Xmx" + HEAP_MB + "m";
-        rig.maxOpen = 1_000_000;
-        rig.diskMb = 1000;
+        fixture.heap = "-Xmx" + HEAP_MB + "m";
+        fixture.maxOpen = 1_000_000;
+        fixture.diskMb = 1000;
         final FakeServer shut = new FakeServer((request, connection) -> {});
         shut.close();
-        rig.hosts = Rig.host("e0", shut, "Ready");
+        fixture.hosts = CourierProcessFixture.hostEntry("e0", shut, "Ready");
     }
 
     private static String message(final int index) {
-        return Rig.message("m" + index, "safe", "x".repeat(BODY_BYTES));
+        return CourierProcessFixture.message("m" + index, "safe", "x".repeat(BODY_BYTES));
     }
 
     private int up() throws IOException {
-        return rig.send("GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+        return fixture.send("GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
                 .status();
     }
 
     @Test
     void itRefusesBeforeItsHeapIsFullAndStartsAgainFromWhatItTookOn() throws Exception {
-        rig.start();
+        fixture.start();
         int taken = 0;
         int refused = 0;
-        try (Socket socket = rig.connect()) {
+        try (Socket socket = fixture.connect()) {
             for (int index = 0; index < HANDED_IN; index++) {
-                final Rig.Answer answer = Rig.send(socket, message(index));
+                final CourierProcessFixture.Answer answer = CourierProcessFixture.send(socket, message(index));
                 if (answer.status() == 202) {
                     taken++;
                 } else {
@@ -57,13 +57,13 @@
         assertTrue(refused > 0, "refused: " + refused);
         assertEquals(200, up());
         final int resumed = taken;
-        rig.killAndRestart();
+        fixture.killAndRestart();
         assertEquals(200, up());
-        assertTrue(rig.log.stream().anyMatch(line -> line.equals("resumed " + resumed + " messages")), "" + rig.log);
-        assertEquals(503, rig.send(message(HANDED_IN)).status(), "it is as full as before");
+        assertTrue(fixture.log.stream().anyMatch(line -> line.equals("resumed " + resumed + " messages")), "" + fixture.log);
+        assertEquals(503, fixture.send(message(HANDED_IN)).status(), "it is as full as before");
         assertEquals(
                 0,
-                rig.log.stream()
+                fixture.log.stream()
                         .filter(line -> line.contains("OutOfMemoryError"))
                         .count());
     }
@@ -79,10 +79,10 @@
                         JournalTest.takes(journal, new AcceptedMessage("m" + index, "safe", null, null, 7, validUntilUs, body)));
             }
         }
-        rig.start();
-        assertTrue(rig.log.stream().anyMatch(line -> line.equals("resumed " + fits + " messages")), "" + rig.log);
-        assertTrue(rig.log.stream().anyMatch(line -> line.contains("nothing new is taken on")), "" + rig.log);
-        assertEquals(503, rig.handIn("late", "safe").status());
+        fixture.start();
+        assertTrue(fixture.log.stream().anyMatch(line -> line.equals("resumed " + fits + " messages")), "" + fixture.log);
+        assertTrue(fixture.log.stream().anyMatch(line -> line.contains("nothing new is taken on")), "" + fixture.log);
+        assertEquals(503, fixture.submit("late", "safe").status());
         assertEquals(200, up());
     }
 }
--- a/src/test/java/railspar/node/ShutdownCrossingsTest.java
+++ b/src/test/java/railspar/node/ShutdownCrossingsTest.java
@@ -14,7 +14,9 @@
 import java.util.concurrent.locks.LockSupport;
 import org.junit.jupiter.api.Test;
 
-/** SIGTERM and a client's bytes, in each order: every request is answered, or was never taken on; no answer is lost. */
+/**
+ * SIGTERM and a client's bytes, in each order: every request is answered, or was never taken on; no answer is lost.
+ */
 final class ShutdownCrossingsTest extends AbstractCourierProcessTest {
     /** Longer than the process listens after SIGTERM. */
     private static final long LISTENS_MS = 700;
@@ -25,8 +27,8 @@
 
     /** Sends SIGTERM, and waits until it has had its effect: a client that asked nothing is sent away. */
     private Process terminate() throws IOException {
-        try (Socket idle = rig.connect()) {
-            final Process ending = rig.terminate();
+        try (Socket idle = fixture.connect()) {
+            final Process ending = fixture.terminate();
             assertEquals(-1, idle.getInputStream().read());
             return ending;
         }
@@ -34,7 +36,7 @@
 
     private boolean refusesConnections() {
         try {
-            rig.connect().close();
+            fixture.connect().close();
             return false;
         } catch (final IOException e) {
             return true;
@@ -51,81 +53,81 @@
 
     @Test
     void aProcessThatHoldsNoMessageWaitsForAClientThatIsHalfWayThroughOne() throws IOException, InterruptedException {
-        rig.start();
-        try (Socket socket = rig.connect()) {
-            final String message = Rig.message("m1", "once");
+        fixture.start();
+        try (Socket socket = fixture.connect()) {
+            final String message = CourierProcessFixture.message("m1", "once");
             write(socket, half(message));
             final Process ending = terminate();
-            rig.await("the end of listening", this::refusesConnections);
+            fixture.await("the end of listening", this::refusesConnections);
             // Where it ended as soon as it held nothing and had stopped listening, it is gone by now.
             assertFalse(ending.waitFor(200, TimeUnit.MILLISECONDS), "it ended under a client's request");
             write(socket, rest(message));
-            final Rig.Answer answer = Rig.read(socket.getInputStream());
+            final CourierProcessFixture.Answer answer = CourierProcessFixture.read(socket.getInputStream());
             assertEquals(202, answer.status());
             assertTrue(answer.head().contains("connection: close"), answer.head());
             assertEquals(-1, socket.getInputStream().read());
-            assertTrue(ending.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(ending.waitFor(CourierProcessFixture.TIMEOUT_S, TimeUnit.SECONDS));
         }
-        rig.start();
-        rig.await("its delivery, by either process", () -> rig.first.ids().contains("m1"));
-        assertEquals(List.of("m1"), rig.first.ids());
+        fixture.start();
+        fixture.await("its delivery, by either process", () -> fixture.first.ids().contains("m1"));
+        assertEquals(List.of("m1"), fixture.first.ids());
     }
 
     @Test
     void aRequestThatNeverGetsWholeIsRefusedBeforeTheProcessEnds() throws IOException, InterruptedException {
-        rig.start();
+        fixture.start();
         final Process ending = terminate();
-        try (Socket socket = rig.connect()) {
-            write(socket, half(Rig.message("m1", "once")));
-            final int status = Rig.read(socket.getInputStream()).status();
+        try (Socket socket = fixture.connect()) {
+            write(socket, half(CourierProcessFixture.message("m1", "once")));
+            final int status = CourierProcessFixture.read(socket.getInputStream()).status();
             assertTrue(status == 503 || status == 408, "status " + status);
             assertEquals(-1, socket.getInputStream().read());
         }
-        assertTrue(ending.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(ending.waitFor(CourierProcessFixture.TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     @Test
     void requestsBehindOneAnotherAreAllAnsweredAndTheLastAnswerSaysClose() throws IOException, InterruptedException {
-        rig.start();
+        fixture.start();
         final List<String> messages =
-                List.of(Rig.message("m1", "once"), Rig.message("m2", "once"), Rig.message("m3", "once"));
+                List.of(CourierProcessFixture.message("m1", "once"), CourierProcessFixture.message("m2", "once"), CourierProcessFixture.message("m3", "once"));
         final Process ending;
-        try (Socket socket = rig.connect()) {
+        try (Socket socket = fixture.connect()) {
             write(socket, half(messages.get(0)));
             ending = terminate();
             write(socket, rest(messages.get(0)) + messages.get(1) + half(messages.get(2)));
             for (int count = 0; count < 2; count++) {
-                final Rig.Answer answer = Rig.read(socket.getInputStream());
+                final CourierProcessFixture.Answer answer = CourierProcessFixture.read(socket.getInputStream());
                 assertEquals(202, answer.status());
                 assertFalse(answer.head().contains("connection: close"), "a request is half here: " + answer.head());
             }
             write(socket, rest(messages.get(2)));
-            final Rig.Answer last = Rig.read(socket.getInputStream());
+            final CourierProcessFixture.Answer last = CourierProcessFixture.read(socket.getInputStream());
             assertEquals(202, last.status());
             assertTrue(last.head().contains("connection: close"), last.head());
             assertEquals(-1, socket.getInputStream().read());
         }
-        assertTrue(ending.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
-        rig.start();
-        rig.await("all three, by either process", () -> rig.first.ids().containsAll(List.of("m1", "m2", "m3")));
-        assertEquals(3, rig.first.ids().size());
+        assertTrue(ending.waitFor(CourierProcessFixture.TIMEOUT_S, TimeUnit.SECONDS));
+        fixture.start();
+        fixture.await("all three, by either process", () -> fixture.first.ids().containsAll(List.of("m1", "m2", "m3")));
+        assertEquals(3, fixture.first.ids().size());
     }
 
     @Test
     void anAnswerIsReadThoughItsConnectionEndsOverBytesThatNobodyAskedFor() throws IOException {
-        rig.start();
-        try (Socket socket = rig.connect()) {
-            final String last = Rig.message("m1", "safe").replace("Host:", "Connection: close\r\nHost:");
+        fixture.start();
+        try (Socket socket = fixture.connect()) {
+            final String last = CourierProcessFixture.message("m1", "safe").replace("Host:", "Connection: close\r\nHost:");
             try {
                 // More than the kernel holds for us: some of it lies unread when the answer is written.
                 write(socket, last + "x".repeat(1 << 22));
             } catch (final IOException e) {
                 assertTrue(e.getMessage() != null, "a close over unread bytes shows here, or in what is read below");
             }
-            assertEquals(202, Rig.read(socket.getInputStream()).status());
+            assertEquals(202, CourierProcessFixture.read(socket.getInputStream()).status());
             assertEquals(-1, socket.getInputStream().read());
         }
-        rig.await("the call", () -> rig.first.ids().contains("m1"));
+        fixture.await("the call", () -> fixture.first.ids().contains("m1"));
     }
 
     /** The program sets it nowhere: each of its sockets, made or accepted, is one of these. */
@@ -138,56 +140,56 @@
 
     @Test
     void aRequestThatComesBehindOurEndIsNotTakenOn() throws IOException, InterruptedException {
-        rig.start();
+        fixture.start();
         final Process ending;
-        try (Socket resting = rig.connect()) {
-            assertEquals(202, Rig.send(resting, Rig.message("m1", "safe")).status());
-            ending = rig.terminate();
+        try (Socket resting = fixture.connect()) {
+            assertEquals(202, CourierProcessFixture.send(resting, CourierProcessFixture.message("m1", "safe")).status());
+            ending = fixture.terminate();
             assertEquals(-1, resting.getInputStream().read(), "the resting client is sent away");
-            write(resting, Rig.message("crossed", "safe"));
+            write(resting, CourierProcessFixture.message("crossed", "safe"));
             assertEquals(-1, resting.getInputStream().read());
         }
-        assertEquals(202, rig.handIn("again", "safe").status(), "the client sends it once more on a new connection");
-        assertTrue(ending.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
-        rig.start();
-        rig.await("the repeat", () -> rig.first.ids().contains("again"));
-        assertFalse(rig.first.ids().contains("crossed"));
+        assertEquals(202, fixture.submit("again", "safe").status(), "the client sends it once more on a new connection");
+        assertTrue(ending.waitFor(CourierProcessFixture.TIMEOUT_S, TimeUnit.SECONDS));
+        fixture.start();
+        fixture.await("the repeat", () -> fixture.first.ids().contains("again"));
+        assertFalse(fixture.first.ids().contains("crossed"));
     }
 
     @Test
     void aRequestThatLiesInTheKernelAtSigtermIsAnswered() throws IOException, InterruptedException {
-        rig.start();
-        try (Socket resting = rig.connect()) {
-            assertEquals(202, Rig.send(resting, Rig.message("m1", "safe")).status());
-            rig.signal("STOP");
-            write(resting, Rig.message("m2", "safe"));
-            rig.signal("TERM");
-            rig.signal("CONT");
-            assertEquals(202, Rig.read(resting.getInputStream()).status());
+        fixture.start();
+        try (Socket resting = fixture.connect()) {
+            assertEquals(202, CourierProcessFixture.send(resting, CourierProcessFixture.message("m1", "safe")).status());
+            fixture.signal("STOP");
+            write(resting, CourierProcessFixture.message("m2", "safe"));
+            fixture.signal("TERM");
+            fixture.signal("CONT");
+            assertEquals(202, CourierProcessFixture.read(resting.getInputStream()).status());
         }
-        rig.await("its delivery", () -> rig.first.ids().contains("m2"));
+        fixture.await("its delivery", () -> fixture.first.ids().contains("m2"));
     }
 
     @Test
     void connectionsInTheQueueOfTheListeningSocketAreServedBeforeItIsClosed() throws IOException, InterruptedException {
-        rig.start();
+        fixture.start();
         terminate();
-        rig.signal("STOP");
+        fixture.signal("STOP");
         final long fromNs = System.nanoTime();
         final int crowd = 50;
         final List<Socket> sockets = new ArrayList<>();
         for (int count = 0; count < crowd; count++) {
-            final Socket socket = rig.connect();
-            write(socket, Rig.message("m" + count, "safe").replace("dest=7", "dest=" + (count % 5 == 0 ? 7 : 8)));
+            final Socket socket = fixture.connect();
+            write(socket, CourierProcessFixture.message("m" + count, "safe").replace("dest=7", "dest=" + (count % 5 == 0 ? 7 : 8)));
             sockets.add(socket);
         }
         // The end of listening falls due while the process has no core.
         while (System.nanoTime() - fromNs < TimeUnit.MILLISECONDS.toNanos(LISTENS_MS)) {
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
         }
-        rig.signal("CONT");
+        fixture.signal("CONT");
         for (final Socket socket : sockets) {
-            final int status = Rig.read(socket.getInputStream()).status();
+            final int status = CourierProcessFixture.read(socket.getInputStream()).status();
             assertTrue(status == 202 || status == 503 || status == 429, "status " + status);
             socket.close();
         }
@@ -195,25 +197,25 @@
 
     @Test
     void garbageBehindARequestIsRefusedAfterThatRequestHasItsAnswer() throws IOException {
-        rig.start();
-        try (Socket socket = rig.connect()) {
-            write(socket, Rig.message("m1", "safe") + "what is this\r\n\r\n");
-            assertEquals(202, Rig.read(socket.getInputStream()).status());
-            assertEquals(400, Rig.read(socket.getInputStream()).status());
+        fixture.start();
+        try (Socket socket = fixture.connect()) {
+            write(socket, CourierProcessFixture.message("m1", "safe") + "what is this\r\n\r\n");
+            assertEquals(202, CourierProcessFixture.read(socket.getInputStream()).status());
+            assertEquals(400, CourierProcessFixture.read(socket.getInputStream()).status());
             assertEquals(-1, socket.getInputStream().read());
         }
-        rig.await("the call", () -> rig.first.ids().contains("m1"));
+        fixture.await("the call", () -> fixture.first.ids().contains("m1"));
     }
 
     @Test
     void halfARequestThatCameInOneReadWithAWholeOneIsGivenUpInItsTime() throws IOException {
-        rig.start();
-        try (Socket socket = rig.connect()) {
-            write(socket, Rig.message("m1", "safe") + "POST /safe HTTP/1.1\r\nHo");
-            assertEquals(202, Rig.read(socket.getInputStream()).status());
+        fixture.start();
+        try (Socket socket = fixture.connect()) {
+            write(socket, CourierProcessFixture.message("m1", "safe") + "POST /safe HTTP/1.1\r\nHo");
+            assertEquals(202, CourierProcessFixture.read(socket.getInputStream()).status());
             final long fromNs = System.nanoTime();
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(6));
-            assertEquals(408, Rig.read(socket.getInputStream()).status());
+            assertEquals(408, CourierProcessFixture.read(socket.getInputStream()).status());
             assertTrue(System.nanoTime() - fromNs < TimeUnit.SECONDS.toNanos(6));
         }
     }
--- a/src/test/java/railspar/node/SlowAgentTest.java
+++ b/src/test/java/railspar/node/SlowAgentTest.java
@@ -37,9 +37,9 @@
     }
 
     private void agent() {
-        rig.platform.script((request, connection) -> {
+        fixture.platform.script((request, connection) -> {
             if (request.line().startsWith("POST")) {
-                rig.platform(request, connection);
+                fixture.answerPlatformRequest(request, connection);
                 return;
             }
             watches.add(connection);
@@ -61,60 +61,60 @@
         }
     }
 
-    private static String drain(final Rig rig) {
-        return Rig.line(42, Rig.host("e1", rig.first, "Terminating") + "," + Rig.host("e2", rig.second, "Ready"));
+    private static String drain(final CourierProcessFixture rig) {
+        return CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", rig.first, "Terminating") + "," + CourierProcessFixture.hostEntry("e2", rig.second, "Ready"));
     }
 
     private boolean isTold() {
-        return rig.log.stream().anyMatch(line -> line.startsWith("the list at 42"));
+        return fixture.log.stream().anyMatch(line -> line.startsWith("the list at 42"));
     }
 
     @ParameterizedTest
     @CsvSource({"1500,0,0", "3000,0,0", "5000,0,0", "0,4000,0", "0,0,4000", "1500,1500,1500"})
     void aDrainIsFollowedInTimeHoweverSlowlyTheNextWatchIsAnswered(
             final long slowHeadMs, final long slowLineMs, final long slowRestMs) throws IOException {
-        rig.discovery = "pushed";
+        fixture.discovery = "pushed";
         agent();
-        rig.start();
+        fixture.start();
         headMs = slowHeadMs;
         lineMs = slowLineMs;
         restMs = slowRestMs;
-        firstLine = drain(rig);
+        firstLine = drain(fixture);
         final long fromNs = System.nanoTime();
         watches.forEach(FakeServer.Connection::reset);
-        rig.await("the drain", this::isTold);
+        fixture.await("the drain", this::isTold);
         final long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - fromNs);
         assertTrue(tookMs < TOLD_MS, "it took " + tookMs + " ms");
-        assertEquals(202, rig.handIn("m1", "safe").status());
-        rig.await("the call", () -> rig.second.requests.size() == 1);
-        assertEquals(0, rig.first.requests.size());
+        assertEquals(202, fixture.submit("m1", "safe").status());
+        fixture.await("the call", () -> fixture.second.requests.size() == 1);
+        assertEquals(0, fixture.first.requests.size());
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1500, 3000})
     void aNewProcessSendsNothingToAnEndpointThatDrainedWhileNoneRan(final long slowHeadMs)
             throws IOException, InterruptedException {
-        rig.discovery = "pushed";
+        fixture.discovery = "pushed";
         agent();
-        rig.start();
-        rig.kill();
+        fixture.start();
+        fixture.kill();
         headMs = slowHeadMs;
-        firstLine = drain(rig);
-        rig.start();
-        assertEquals(202, rig.handIn("m1", "safe").status());
-        rig.await("the call", () -> rig.second.requests.size() == 1);
-        assertEquals(0, rig.first.requests.size());
+        firstLine = drain(fixture);
+        fixture.start();
+        assertEquals(202, fixture.submit("m1", "safe").status());
+        fixture.await("the call", () -> fixture.second.requests.size() == 1);
+        assertEquals(0, fixture.first.requests.size());
     }
 
     @Test
     void aSilentAgentIsAskedAtMostByAFewWatchesAtOnce() throws IOException {
-        rig.discovery = "pushed";
+        fixture.discovery = "pushed";
         agent();
-        rig.start();
+        fixture.start();
         headMs = TimeUnit.SECONDS.toMillis(60);
         watches.forEach(FakeServer.Connection::reset);
-        rig.await("more watches than may stand at once", () -> watches.size() > ListSubscription.MAX_WATCHES + 2);
-        rig.await(
+        fixture.await("more watches than may stand at once", () -> watches.size() > ListSubscription.MAX_WATCHES + 2);
+        fixture.await(
                 "an end for those in excess",
                 () -> watches.stream().filter(watch -> !watch.ended).count() <= ListSubscription.MAX_WATCHES);
         assertFalse(watches.get(1).ended, "the oldest that is not answered is kept");
@@ -122,46 +122,46 @@
 
     @Test
     void aLineThatLiesUnreadWhileTheProcessStandsStillIsFollowed() throws IOException, InterruptedException {
-        rig.discovery = "pushed";
+        fixture.discovery = "pushed";
         agent();
-        rig.start();
+        fixture.start();
         // Whatever is asked for anew is not answered: only the standing watch has the news.
         headMs = TimeUnit.SECONDS.toMillis(60);
-        rig.signal("STOP");
-        watches.get(watches.size() - 1).chunk(drain(rig));
+        fixture.signal("STOP");
+        watches.get(watches.size() - 1).chunk(drain(fixture));
         Thread.sleep(Watch.SILENCE_TIMEOUT_MS + 500);
-        rig.signal("CONT");
-        rig.await("the drain", this::isTold);
+        fixture.signal("CONT");
+        fixture.await("the drain", this::isTold);
     }
 
     @Test
     void nothingIsSentToAnEndpointWhoseDrainLayUnreadWhileTheProcessStoodStill()
             throws IOException, InterruptedException {
-        rig.discovery = "pushed";
-        rig.hosts = Rig.host("e0", rig.first, "Ready");
+        fixture.discovery = "pushed";
+        fixture.hosts = CourierProcessFixture.hostEntry("e0", fixture.first, "Ready");
         agent();
-        rig.start();
+        fixture.start();
         for (int round = 0; round < 6; round++) {
-            final FakeServer draining = round % 2 == 0 ? rig.first : rig.second;
-            final FakeServer ready = round % 2 == 0 ? rig.second : rig.first;
+            final FakeServer draining = round % 2 == 0 ? fixture.first : fixture.second;
+            final FakeServer ready = round % 2 == 0 ? fixture.second : fixture.first;
             draining.script((request, connection) -> connection.answer(429, "", "Retry-After: 1.0"));
             ready.script((request, connection) -> connection.accept(request));
             final int before = draining.requests.size();
             final String id = "m" + round;
-            assertEquals(202, rig.handIn(id, "safe").status());
-            rig.await("the call that is told to wait", () -> draining.requests.size() > before);
+            assertEquals(202, fixture.submit(id, "safe").status());
+            fixture.await("the call that is told to wait", () -> draining.requests.size() > before);
             // The answer has been read by then, and the loop waits for its next timer.
             Thread.sleep(300);
-            rig.signal("STOP");
+            fixture.signal("STOP");
             watches.get(watches.size() - 1)
-                    .chunk(Rig.line(
+                    .chunk(CourierProcessFixture.listLine(
                             42 + round,
-                            Rig.host("e" + round, draining, "Terminating") + ","
-                                    + Rig.host("e" + (round + 1), ready, "Ready")));
+                            CourierProcessFixture.hostEntry("e" + round, draining, "Terminating") + ","
+                                    + CourierProcessFixture.hostEntry("e" + (round + 1), ready, "Ready")));
             // The told wait ends meanwhile: the next attempt is due at the moment in which the process goes on.
             Thread.sleep(1500);
-            rig.signal("CONT");
-            rig.await(
+            fixture.signal("CONT");
+            fixture.await(
                     "the call to the endpoint that is ready", () -> ready.ids().contains(id));
             assertEquals(before + 1, draining.requests.size(), "round " + round);
         }
@@ -169,17 +169,17 @@
 
     @Test
     void aProcessThatTakesOverBeforeItsAgentHasSpokenSendsNothingToAnEndpointThatDrains() throws Exception {
-        rig.discovery = "pushed";
-        rig.hosts = Rig.host("e1", rig.first, "Ready") + "," + Rig.host("e2", rig.second, "Ready");
+        fixture.discovery = "pushed";
+        fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + "," + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
         agent();
-        rig.start();
+        fixture.start();
         headMs = 2500;
-        firstLine = drain(rig);
-        rig.replace(rig.startBeside(), true);
+        firstLine = drain(fixture);
+        fixture.endOldProcess(fixture.startSuccessor(), true);
         for (int count = 0; count < 12; count++) {
-            assertEquals(202, rig.handIn("m" + count, "safe").status());
+            assertEquals(202, fixture.submit("m" + count, "safe").status());
         }
-        rig.await("their calls", () -> rig.second.ids().size() >= 12);
-        assertEquals(List.of(), rig.first.ids());
+        fixture.await("their calls", () -> fixture.second.ids().size() >= 12);
+        assertEquals(List.of(), fixture.first.ids());
     }
 }
--- a/src/test/java/railspar/node/SlowPlatformTest.java
+++ b/src/test/java/railspar/node/SlowPlatformTest.java
@@ -26,13 +26,13 @@
     }
 
     private void answerAfter(final long ms) {
-        rig.discovery = "pushed";
-        rig.platform.script((request, connection) -> {
+        fixture.discovery = "pushed";
+        fixture.platform.script((request, connection) -> {
             if (request.line().startsWith("POST")) {
                 posts.add(request.text());
                 timer.schedule(() -> connection.answer(204, ""), ms, TimeUnit.MILLISECONDS);
             } else {
-                rig.platform(request, connection);
+                fixture.answerPlatformRequest(request, connection);
             }
         });
     }
@@ -41,34 +41,34 @@
     @ValueSource(longs = {800, 1500, 4000})
     void theNextMessageOfAKeyGoesOnceTheNoticeOfTheOneBeforeIsAnsweredLate(final long ms) throws IOException {
         answerAfter(ms);
-        rig.start();
-        rig.first.script((request, connection) -> {
+        fixture.start();
+        fixture.first.script((request, connection) -> {
             if (request.ids().contains("first")) {
                 connection.answer(410, "");
             } else {
                 connection.accept(request);
             }
         });
-        assertEquals(202, rig.send(Rig.inTurn("first", "k")).status());
-        rig.await("the notice", () -> posts.stream().anyMatch(text -> text.contains("\"first\"")));
-        assertEquals(202, rig.send(Rig.inTurn("second", "k")).status());
-        rig.await("the call of the second", () -> rig.first.ids().contains("second"));
+        assertEquals(202, fixture.send(CourierProcessFixture.orderedMessage("first", "k")).status());
+        fixture.await("the notice", () -> posts.stream().anyMatch(text -> text.contains("\"first\"")));
+        assertEquals(202, fixture.send(CourierProcessFixture.orderedMessage("second", "k")).status());
+        fixture.await("the call of the second", () -> fixture.first.ids().contains("second"));
     }
 
     @Test
     void noticesThatAreAnsweredLateAreNotOwedAfterARestart() throws IOException, InterruptedException {
         answerAfter(2500);
-        rig.start();
-        rig.first.script((request, connection) -> connection.answer(410, ""));
-        assertEquals(202, rig.handIn("m1", "safe").status());
-        final Process ending = rig.terminate();
-        assertTrue(ending.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS));
-        rig.await("the notice", () -> posts.stream().anyMatch(text -> text.contains("\"m1\"")));
+        fixture.start();
+        fixture.first.script((request, connection) -> connection.answer(410, ""));
+        assertEquals(202, fixture.submit("m1", "safe").status());
+        final Process ending = fixture.terminate();
+        assertTrue(ending.waitFor(CourierProcessFixture.TIMEOUT_S, TimeUnit.SECONDS));
+        fixture.await("the notice", () -> posts.stream().anyMatch(text -> text.contains("\"m1\"")));
         final int told = posts.size();
         answerAfter(0);
-        rig.start();
-        assertEquals(202, rig.handIn("m2", "safe").status());
-        rig.await("the notice of the next one", () -> posts.stream().anyMatch(text -> text.contains("\"m2\"")));
+        fixture.start();
+        assertEquals(202, fixture.submit("m2", "safe").status());
+        fixture.await("the notice of the next one", () -> posts.stream().anyMatch(text -> text.contains("\"m2\"")));
         assertTrue(
                 posts.subList(told, posts.size()).stream().noneMatch(text -> text.contains("\"m1\"")),
                 posts.toString());
@@ -77,24 +77,24 @@
     @Test
     void noticesAreToldThoughNoConnectionCanBeOpenedAndAllWaitForTheirAnswers()
             throws IOException, InterruptedException {
-        rig.faults = new FaultPage(folder, folder.resolve("state"));
-        rig.discovery = "pushed";
-        rig.platform.script((request, connection) -> {
+        fixture.faults = new FaultPage(folder, folder.resolve("state"));
+        fixture.discovery = "pushed";
+        fixture.platform.script((request, connection) -> {
             if (request.line().startsWith("POST")) {
                 posts.add(request.text());
             } else {
-                rig.platform(request, connection);
+                fixture.answerPlatformRequest(request, connection);
             }
         });
-        rig.start();
-        rig.first.script((request, connection) -> connection.answer(410, ""));
-        assertEquals(202, rig.handIn("m0", "safe").status());
-        rig.await("the notice that is not answered", () -> posts.stream().anyMatch(text -> text.contains("\"m0\"")));
-        rig.faults.set(Fault.SOCKET_ERRNO, FaultPage.EMFILE);
+        fixture.start();
+        fixture.first.script((request, connection) -> connection.answer(410, ""));
+        assertEquals(202, fixture.submit("m0", "safe").status());
+        fixture.await("the notice that is not answered", () -> posts.stream().anyMatch(text -> text.contains("\"m0\"")));
+        fixture.faults.set(Fault.SOCKET_ERRNO, FaultPage.EMFILE);
         for (int count = 1; count < 4; count++) {
             final String id = "m" + count;
-            assertEquals(202, rig.handIn(id, "safe").status());
-            rig.await("the next notice", () -> posts.stream().anyMatch(text -> text.contains('"' + id + '"')));
+            assertEquals(202, fixture.submit(id, "safe").status());
+            fixture.await("the next notice", () -> posts.stream().anyMatch(text -> text.contains('"' + id + '"')));
         }
     }
 }
--- a/src/test/java/railspar/node/SoakClients.java
+++ b/src/test/java/railspar/node/SoakClients.java
@@ -19,7 +19,7 @@
     private static final int LEAST_TIME_MS = 1500;
     private static final int TIME_RANGE_MS = 4000;
 
-    private final Rig rig;
+    private final CourierProcessFixture rig;
     private final SoakRecord record;
     private final long seed;
     private final Function<Random, String> kinds;
@@ -31,7 +31,7 @@
 
     /** {@code kinds} draws the class of each message; between two of them a client rests within those bounds. */
     SoakClients(
-            final Rig rig,
+            final CourierProcessFixture rig,
             final SoakRecord record,
             final long seed,
             final Function<Random, String> kinds,
@@ -96,12 +96,12 @@
         final String id = kind + "-" + client + "-" + numbers.incrementAndGet();
         final String key = kind.equals("turn") ? "key" + client : null;
         final long timeoutMs = LEAST_TIME_MS + own.nextInt(TIME_RANGE_MS);
-        final String text = (key == null ? Rig.message(id, kind) : Rig.inTurn(id, key))
+        final String text = (key == null ? CourierProcessFixture.message(id, kind) : CourierProcessFixture.orderedMessage(id, key))
                 .replace("X-Timeout-Ms: 20000", "X-Timeout-Ms: " + timeoutMs);
         final SoakRecord.Message message = new SoakRecord.Message(id, kind, key, record.nowMs(), timeoutMs);
         record.handedIn(message);
         try {
-            final Rig.Answer answer = Rig.send(socket, text);
+            final CourierProcessFixture.Answer answer = CourierProcessFixture.send(socket, text);
             message.answeredMs = record.nowMs();
             message.status = answer.status();
             return answer.status() != 0 && !answer.head().contains("connection: close");
--- a/src/test/java/railspar/node/SoakRecord.java
+++ b/src/test/java/railspar/node/SoakRecord.java
@@ -196,7 +196,7 @@
                 found.add("unsafe and may have run " + mayHaveRun.size() + " times: " + message.id + " " + own);
             }
         } else if (message.kind.equals("brief") && !mayHaveRun.isEmpty()) {
-            final long untilMs = mayHaveRun.get(0).atMs() + Rig.BRIEF_WINDOW_MS + HELD_UP_MS;
+            final long untilMs = mayHaveRun.get(0).atMs() + CourierProcessFixture.BRIEF_WINDOW_MS + HELD_UP_MS;
             own.stream()
                     .filter(call -> call.atMs() > untilMs)
                     .forEach(call -> found.add("sent behind its key's window: " + message.id + " " + own));
--- a/src/test/java/railspar/node/SoakPlay.java
+++ b/src/test/java/railspar/node/SoakRun.java
@@ -19,7 +19,7 @@
  * and a platform of their own pace, signals in series, and faults of folder, sockets and clocks. The same seed and
  * range of faults draw the same schedule.
  */
-final class SoakPlay implements AutoCloseable {
+final class SoakRun implements AutoCloseable {
     private static final int CLIENTS = 8;
     private static final int LEAST_PAUSE_MS = 20;
     private static final int MOST_PAUSE_MS = 140;
@@ -64,7 +64,7 @@
 
     private final Range range;
     private final Random random;
-    private final Rig rig;
+    private final CourierProcessFixture rig;
     private final FakeServer otherPlatform;
     private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(1);
     private final List<FakeServer.Connection> watches = new CopyOnWriteArrayList<>();
@@ -81,10 +81,10 @@
     private volatile long noticeMs;
     private volatile long endpointSeed;
 
-    SoakPlay(final long seed, final Range range, final Path folder) throws IOException, InterruptedException {
+    SoakRun(final long seed, final Range range, final Path folder) throws IOException, InterruptedException {
         this.range = range;
         random = new Random(seed);
-        rig = new Rig(folder);
+        rig = new CourierProcessFixture(folder);
         otherPlatform = new FakeServer(this::platform);
         rig.platform.script(this::platform);
         rig.discovery = "pushed";
@@ -107,8 +107,8 @@
     }
 
     private String hosts() {
-        return Rig.host("e1", rig.first, draining ? "Terminating" : "Ready") + ","
-                + Rig.host("e2", rig.second, "Ready");
+        return CourierProcessFixture.hostEntry("e1", rig.first, draining ? "Terminating" : "Ready") + ","
+                + CourierProcessFixture.hostEntry("e2", rig.second, "Ready");
     }
 
     // ---------------------------------------------------------------- surroundings
@@ -148,7 +148,7 @@
 
     private void tell(final FakeServer.Connection connection) {
         if (!connection.ended) {
-            connection.chunk(Rig.line(version(), hosts()));
+            connection.chunk(CourierProcessFixture.listLine(version(), hosts()));
             // What a connection that fails takes along is told by the next watch, 6 s later at the latest.
             if (!connectionsFail) {
                 record.told();
@@ -275,7 +275,7 @@
         note(count + " SIGHUPs");
         for (int left = count; left > 0; left--) {
             if (random.nextInt(3) == 0) {
-                rig.reloadTorn();
+                rig.reloadTruncatedConfig();
             } else {
                 rig.reload(random.nextBoolean() ? rig.platform : otherPlatform);
             }
@@ -389,7 +389,7 @@
         }
         rig.kill();
         note("killed");
-        crowd.forEach(SoakPlay::closeQuietly);
+        crowd.forEach(SoakRun::closeQuietly);
         crowd.clear();
         Thread.sleep(DOWN_MS);
         if (random.nextBoolean()) {
@@ -413,7 +413,7 @@
 
     private void handOver() throws IOException, InterruptedException {
         clearSoon();
-        final Process old = rig.startBeside();
+        final Process old = rig.startSuccessor();
         note("a second process stands by");
         if (random.nextBoolean()) {
             failSends();
@@ -421,7 +421,7 @@
         clearSoon();
         final long fromMs = record.nowMs();
         record.launched();
-        rig.replace(old, false);
+        rig.endOldProcess(old, false);
         note("handed over");
         record.restarted(fromMs);
         if (!old.waitFor(KILL_MS, TimeUnit.MILLISECONDS)) {
@@ -456,7 +456,7 @@
     public void close() throws IOException {
         clients.end();
         timer.shutdownNow();
-        crowd.forEach(SoakPlay::closeQuietly);
+        crowd.forEach(SoakRun::closeQuietly);
         rig.close();
         otherPlatform.close();
     }
--- a/src/test/java/railspar/node/SoakTest.java
+++ b/src/test/java/railspar/node/SoakTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Seeded plays with faults, under the protocol's rules. A few seeds by default; {@code -Dsoak.first=1 -Dsoak.count=50}
- * plays others, and leaves a file for each that breaks a rule in {@code target/soak}.
+ * Seeded plays with faults, under the protocol's rules. A few seeds by default;
+ * {@code -Dsoak.first=1 -Dsoak.count=50} plays others, and leaves a file for each that breaks a rule in
+ * {@code target/soak}.
  */
 @Timeout(180)
 final class SoakTest {
@@ -31,18 +32,18 @@
     @ParameterizedTest
     @MethodSource("seeds")
     void noRuleIsBroken(final long seed) throws IOException, InterruptedException {
-        play(seed, SoakPlay.Range.BASIC);
+        play(seed, SoakRun.Range.BASIC);
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
     void noRuleIsBrokenWhileCallsOnSocketsFailAfterTheirEffect(final long seed)
             throws IOException, InterruptedException {
-        play(seed, SoakPlay.Range.WIDE);
+        play(seed, SoakRun.Range.WIDE);
     }
 
-    private void play(final long seed, final SoakPlay.Range range) throws IOException, InterruptedException {
-        try (SoakPlay play = new SoakPlay(seed, range, folder)) {
+    private void play(final long seed, final SoakRun.Range range) throws IOException, InterruptedException {
+        try (SoakRun play = new SoakRun(seed, range, folder)) {
             final List<String> violations = play.run();
             System.out.println("soak " + range + " " + seed + ": " + play.record.summary() + "; " + play.schedule());
             if (!violations.isEmpty()) {
--- a/src/test/java/railspar/node/SocketFaultsTest.java
+++ b/src/test/java/railspar/node/SocketFaultsTest.java
@@ -16,7 +16,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A real courier under load whose calls on sockets fail for a spell, before, in the midst of or after their effect. */
+/**
+ * A real courier under load whose calls on sockets fail for a spell, before, in the midst of or after their effect.
+ */
 final class SocketFaultsTest extends AbstractCourierProcessTest {
     private static final int CLIENTS = 10;
     private static final int PAUSE_MS = 200;
@@ -68,18 +70,18 @@
 
     @BeforeEach
     void preload() throws IOException, InterruptedException {
-        rig.faults = new FaultPage(folder, folder.resolve("state"));
-        rig.discovery = "pushed";
-        rig.maxOpen = 200;
-        rig.hosts = Rig.host("e1", rig.first, "Ready") + "," + Rig.host("e2", rig.second, "Ready");
-        rig.platform.script((request, connection) -> {
+        fixture.faults = new FaultPage(folder, folder.resolve("state"));
+        fixture.discovery = "pushed";
+        fixture.maxOpen = 200;
+        fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + "," + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
+        fixture.platform.script((request, connection) -> {
             if (request.line().startsWith("POST")) {
                 record.noticed(request.text());
             }
-            rig.platform(request, connection);
+            fixture.answerPlatformRequest(request, connection);
         });
-        rig.first.script((request, connection) -> endpoint("e1", request, connection));
-        rig.second.script((request, connection) -> endpoint("e2", request, connection));
+        fixture.first.script((request, connection) -> endpoint("e1", request, connection));
+        fixture.second.script((request, connection) -> endpoint("e2", request, connection));
     }
 
     @AfterEach
@@ -105,7 +107,7 @@
     /** What was played, and the courier's lines on the messages whose rules were broken. */
     private String story(final List<String> violations) {
         return record.summary() + "\n"
-                + rig.log.stream()
+                + fixture.log.stream()
                         .filter(line -> SoakRecord.idsIn(line).stream()
                                 .anyMatch(id -> violations.stream().anyMatch(broken -> broken.contains(id + " "))))
                         .collect(Collectors.joining("\n"));
@@ -117,24 +119,24 @@
     }
 
     private SoakClients clients() {
-        return new SoakClients(rig, record, 1, draw -> "once", PAUSE_MS, PAUSE_MS + 1);
+        return new SoakClients(fixture, record, 1, draw -> "once", PAUSE_MS, PAUSE_MS + 1);
     }
 
     @ParameterizedTest
     @EnumSource(Spell.class)
     void noUnsafeMessageIsSentTwiceAndNoneThatWasTakenOnIsLost(final Spell spell) throws Exception {
         record.launched();
-        rig.start();
+        fixture.start();
         final SoakClients clients = clients();
         clients.start(CLIENTS);
         for (int count = 0; count < SPELLS; count++) {
             Thread.sleep(REST_MS);
-            spell.begin.accept(rig.faults);
+            spell.begin.accept(fixture.faults);
             Thread.sleep(SPELL_MS);
-            rig.faults.clear();
+            fixture.faults.clear();
         }
         assertNoViolation(clients);
-        assertTrue(rig.isAlive());
+        assertTrue(fixture.isAlive());
     }
 
     @ParameterizedTest
@@ -143,17 +145,17 @@
             names = {"SENDS_AFTER_THEIR_EFFECT", "ONE_SEND_OR_SHUTDOWN_IN_TWO", "ONE_READ_OR_SEND_IN_THREE"})
     void noUnsafeMessageIsSentTwiceAndNoneThatWasTakenOnIsLostAcrossAKill(final Spell spell) throws Exception {
         record.launched();
-        rig.start();
+        fixture.start();
         final SoakClients clients = clients();
         clients.start(CLIENTS);
         Thread.sleep(REST_MS);
-        spell.begin.accept(rig.faults);
+        spell.begin.accept(fixture.faults);
         Thread.sleep(SPELL_MS);
         final long fromMs = record.nowMs();
-        rig.kill();
+        fixture.kill();
         record.launched();
-        timer.schedule(rig.faults::clear, RESTART_SPELL_MS, TimeUnit.MILLISECONDS);
-        rig.start();
+        timer.schedule(fixture.faults::clear, RESTART_SPELL_MS, TimeUnit.MILLISECONDS);
+        fixture.start();
         record.restarted(fromMs);
         Thread.sleep(REST_MS);
         assertNoViolation(clients);
@@ -165,15 +167,15 @@
             names = {"SENDS_AFTER_THEIR_EFFECT", "ONE_SEND_OR_SHUTDOWN_IN_TWO", "ONE_READ_OR_SEND_IN_THREE"})
     void noUnsafeMessageIsSentTwiceAndNoneThatWasTakenOnIsLostAcrossAHandOver(final Spell spell) throws Exception {
         record.launched();
-        rig.start();
+        fixture.start();
         final SoakClients clients = clients();
         clients.start(CLIENTS);
-        final Process old = rig.startBeside();
+        final Process old = fixture.startSuccessor();
         Thread.sleep(REST_MS);
-        spell.begin.accept(rig.faults);
-        timer.schedule(rig.faults::clear, RESTART_SPELL_MS, TimeUnit.MILLISECONDS);
+        spell.begin.accept(fixture.faults);
+        timer.schedule(fixture.faults::clear, RESTART_SPELL_MS, TimeUnit.MILLISECONDS);
         final long fromMs = record.nowMs();
-        rig.replace(old, false);
+        fixture.endOldProcess(old, false);
         record.restarted(fromMs);
         Thread.sleep(REST_MS);
         assertNoViolation(clients);
--- a/src/test/java/railspar/node/StartCrossingsTest.java
+++ b/src/test/java/railspar/node/StartCrossingsTest.java
@@ -21,8 +21,8 @@
 
     @BeforeEach
     void configure() {
-        rig.maxOpen = 2 * EACH;
-        rig.discovery = "pushed";
+        fixture.maxOpen = 2 * EACH;
+        fixture.discovery = "pushed";
     }
 
     /** Leaves messages as a process that was killed would: taken on, and never sent. */
@@ -41,28 +41,28 @@
     }
 
     private Set<String> called() {
-        return new HashSet<>(rig.first.ids());
+        return new HashSet<>(fixture.first.ids());
     }
 
     @Test
     void aFullJournalAndASilentDiscoveryDoNotKeepItFromItsClients() throws IOException {
-        rig.news = "";
+        fixture.firstWatchLine = "";
         hold("late", -1000);
         hold("held", 15_000);
         final long fromNs = System.nanoTime();
-        rig.start();
+        fixture.start();
         final long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - fromNs);
         assertTrue(tookMs < READY_MS, "ready after " + tookMs + " ms");
-        assertEquals(202, rig.handIn("new", "safe").status());
-        rig.await(
+        assertEquals(202, fixture.submit("new", "safe").status());
+        fixture.await(
                 "an end for each whose time is up",
-                () -> all("late").stream().allMatch(id -> rig.noticed(id, "deferred")));
-        rig.await("a call for each that was never tried", () -> called().containsAll(all("held")));
+                () -> all("late").stream().allMatch(id -> fixture.hasNotice(id, "deferred")));
+        fixture.await("a call for each that was never tried", () -> called().containsAll(all("held")));
         final Set<String> again = new HashSet<>(called());
         again.retainAll(all("late"));
         assertEquals(Set.of(), again, "what is over is not sent");
         assertEquals(
                 List.of(),
-                rig.notices.stream().filter(line -> line.contains("\"held")).toList());
+                fixture.notices.stream().filter(line -> line.contains("\"held")).toList());
     }
 }
--- a/src/test/java/railspar/node/StoredListCrossingsTest.java
+++ b/src/test/java/railspar/node/StoredListCrossingsTest.java
@@ -20,14 +20,14 @@
 
     @BeforeEach
     void configure() {
-        rig.discovery = "pushed";
+        fixture.discovery = "pushed";
     }
 
     /** Plays the agent: each watch begins with the text at its place, the last one with all that follow. */
     private void agent(final String... texts) {
-        rig.platform.script((request, connection) -> {
+        fixture.platform.script((request, connection) -> {
             if (request.line().startsWith("POST")) {
-                rig.platform(request, connection);
+                fixture.answerPlatformRequest(request, connection);
             } else {
                 asked.add(request.line());
                 connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -37,15 +37,15 @@
     }
 
     private void awaitLog(final String begin) {
-        rig.await(begin, () -> rig.log.stream().anyMatch(line -> line.startsWith(begin)));
+        fixture.await(begin, () -> fixture.log.stream().anyMatch(line -> line.startsWith(begin)));
     }
 
     private long said(final String words) {
-        return rig.log.stream().filter(line -> line.contains(words)).count();
+        return fixture.log.stream().filter(line -> line.contains(words)).count();
     }
 
     private String news() {
-        return Rig.line(43, Rig.host("e1", rig.first, "Gone") + "," + Rig.host("e2", rig.second, "Ready"));
+        return CourierProcessFixture.listLine(43, CourierProcessFixture.hostEntry("e1", fixture.first, "Gone") + "," + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready"));
     }
 
     private Path copy() {
@@ -55,66 +55,66 @@
     @Test
     void aRestartAsksOnlyForWhatCameAfterItsCopyAndServesByIt() throws IOException, InterruptedException {
         agent(news(), "\n");
-        rig.start();
-        rig.await("the copy", () -> Files.exists(copy()));
-        rig.killAndRestart();
-        rig.await("the second watch", () -> asked.size() == 2);
+        fixture.start();
+        fixture.await("the copy", () -> Files.exists(copy()));
+        fixture.killAndRestart();
+        fixture.await("the second watch", () -> asked.size() == 2);
         assertTrue(asked.get(0).contains("after=41 "), asked.toString());
         assertTrue(asked.get(1).contains("after=43 "), asked.toString());
-        assertEquals(202, rig.handIn("m1", "safe").status());
-        rig.await("the call by the copy", () -> rig.second.requests.size() == 1);
-        assertEquals(0, rig.first.requests.size());
+        assertEquals(202, fixture.submit("m1", "safe").status());
+        fixture.await("the call by the copy", () -> fixture.second.requests.size() == 1);
+        assertEquals(0, fixture.first.requests.size());
     }
 
     @Test
     void aTornCopyIsDroppedAndTheConfigurationHolds() throws IOException, InterruptedException {
         agent(news(), "\n");
-        rig.start();
-        rig.await("the copy", () -> Files.exists(copy()));
-        rig.kill();
+        fixture.start();
+        fixture.await("the copy", () -> Files.exists(copy()));
+        fixture.kill();
         Files.write(copy(), Arrays.copyOf(Files.readAllBytes(copy()), 60));
-        rig.start();
-        rig.await("the second watch", () -> asked.size() == 2);
+        fixture.start();
+        fixture.await("the second watch", () -> asked.size() == 2);
         assertTrue(asked.get(1).contains("after=41 "), asked.toString());
         assertEquals(1, said("the stored list is dropped"));
-        assertEquals(202, rig.handIn("m1", "safe").status());
-        rig.await("the call by the configuration", () -> rig.first.requests.size() == 1);
+        assertEquals(202, fixture.submit("m1", "safe").status());
+        fixture.await("the call by the configuration", () -> fixture.first.requests.size() == 1);
     }
 
     @Test
     void aCopyFromOtherSettingsIsDropped() throws IOException, InterruptedException {
         agent(news(), "\n");
-        rig.start();
-        rig.await("the copy", () -> Files.exists(copy()));
-        rig.kill();
-        rig.maxOpen++;
-        rig.start();
-        rig.await("the second watch", () -> asked.size() == 2);
+        fixture.start();
+        fixture.await("the copy", () -> Files.exists(copy()));
+        fixture.kill();
+        fixture.maxOpen++;
+        fixture.start();
+        fixture.await("the second watch", () -> asked.size() == 2);
         assertTrue(asked.get(1).contains("after=41 "), asked.toString());
         assertEquals(1, said("it was written under other settings"));
     }
 
     @Test
     void withNoListAtAllItIsReadyOnceOneIsInForce() throws IOException {
-        rig.hosts = "";
-        agent("{\"seq\":42,\"hosts\":[{\"ho\n", "{\"hosts\":[\n\n", Rig.line(42, Rig.host("e2", rig.second, "Ready")));
-        rig.start();
+        fixture.hosts = "";
+        agent("{\"seq\":42,\"hosts\":[{\"ho\n", "{\"hosts\":[\n\n", CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e2", fixture.second, "Ready")));
+        fixture.start();
         assertEquals(3, asked.size(), "what cannot be used is no list");
-        final List<String> log = List.copyOf(rig.log);
+        final List<String> log = List.copyOf(fixture.log);
         final int inForce = indexOf(log, "the list at 42");
         assertTrue(inForce >= 0 && inForce < indexOf(log, "n0 is ready at"), log.toString());
-        assertEquals(202, rig.handIn("m1", "safe").status());
-        rig.await("the call", () -> rig.second.requests.size() == 1);
+        assertEquals(202, fixture.submit("m1", "safe").status());
+        fixture.await("the call", () -> fixture.second.requests.size() == 1);
     }
 
     @Test
     void withNoListAndASilentDiscoveryItStartsInTheEndAndSaysWhy() throws IOException {
-        rig.hosts = "";
-        rig.news = "";
-        rig.start();
-        final int why = indexOf(rig.log, "starts with 0 endpoints: no list has come");
-        assertTrue(why >= 0 && why < indexOf(rig.log, "n0 is ready at"), rig.log.toString());
-        assertTrue(rig.watches.size() > 1, "it has asked again meanwhile");
+        fixture.hosts = "";
+        fixture.firstWatchLine = "";
+        fixture.start();
+        final int why = indexOf(fixture.log, "starts with 0 endpoints: no list has come");
+        assertTrue(why >= 0 && why < indexOf(fixture.log, "n0 is ready at"), fixture.log.toString());
+        assertTrue(fixture.watches.size() > 1, "it has asked again meanwhile");
     }
 
     private static int indexOf(final List<String> log, final String begin) {
@@ -128,37 +128,37 @@
 
     @Test
     void aRepeatedEntryAndAnOlderVersionChangeNothingAndAreSaidOnce() throws IOException {
-        final String two = Rig.host("e2", rig.second, "Ready");
-        final String repeated = Rig.line(42, Rig.host("e1", rig.first, "Gone") + "," + two + "," + two)
+        final String two = CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
+        final String repeated = CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Gone") + "," + two + "," + two)
                 .replace("false", "true");
-        final String older = Rig.line(40, two).replace("false", "true");
+        final String older = CourierProcessFixture.listLine(40, two).replace("false", "true");
         agent(repeated, repeated, older, older.replace("40", "39"), "\n");
-        rig.start();
-        rig.await("the fifth watch", () -> asked.size() == 5);
+        fixture.start();
+        fixture.await("the fifth watch", () -> asked.size() == 5);
         assertEquals(1, said("it names e2 twice"));
         assertEquals(1, said("is older than 41"));
         assertTrue(asked.stream().allMatch(line -> line.contains("after=41 ")), asked.toString());
         assertFalse(Files.exists(copy()), "nothing new is in force");
-        assertEquals(202, rig.handIn("m1", "safe").status());
-        rig.await("the call by the list that holds", () -> rig.first.requests.size() == 1);
-        assertEquals(0, rig.second.requests.size());
+        assertEquals(202, fixture.submit("m1", "safe").status());
+        fixture.await("the call by the list that holds", () -> fixture.first.requests.size() == 1);
+        assertEquals(0, fixture.second.requests.size());
     }
 
     @Test
     void aListOfManyMegabytesIsInForceWithTheFirstWatch() throws IOException {
-        final StringBuilder hosts = new StringBuilder(Rig.host("e2", rig.second, "Ready"));
+        final StringBuilder hosts = new StringBuilder(CourierProcessFixture.hostEntry("e2", fixture.second, "Ready"));
         for (int index = 0; index < 34_000; index++) {
             hosts.append(',')
-                    .append(Rig.host("s-%08x".formatted(index), "127.0.0.1:9", "Ready")
+                    .append(CourierProcessFixture.hostEntry("s-%08x".formatted(index), "127.0.0.1:9", "Ready")
                             .replace("\"block\":7", "\"block\":" + (1000 + index / 2)));
         }
-        final String whole = Rig.line(42, hosts.toString()).replace("false", "true");
+        final String whole = CourierProcessFixture.listLine(42, hosts.toString()).replace("false", "true");
         assertTrue(whole.length() > 1 << 22, whole.length() + " bytes");
         agent(whole);
-        rig.start();
+        fixture.start();
         awaitLog("the list at 42: FULL, 34001 entries, 1 gone");
-        assertEquals(202, rig.handIn("m1", "safe").status());
-        rig.await("the call", () -> rig.second.requests.size() == 1);
+        assertEquals(202, fixture.submit("m1", "safe").status());
+        fixture.await("the call", () -> fixture.second.requests.size() == 1);
         assertEquals(1, asked.size());
     }
 }
--- a/src/test/java/railspar/node/WatchCrossingsTest.java
+++ b/src/test/java/railspar/node/WatchCrossingsTest.java
@@ -22,9 +22,9 @@
     /** Plays the agent: the n-th watch is given to the n-th of these, the last one to all that follow. */
     @SafeVarargs
     private void agent(final java.util.function.Consumer<FakeServer.Connection>... watches) {
-        rig.platform.script((request, connection) -> {
+        fixture.platform.script((request, connection) -> {
             if (request.line().startsWith("POST")) {
-                rig.platform(request, connection);
+                fixture.answerPlatformRequest(request, connection);
             } else {
                 final int index = askedNs.size();
                 askedNs.add(System.nanoTime());
@@ -45,17 +45,17 @@
     @ParameterizedTest
     @ValueSource(strings = {"pushed", "on_request"})
     void aNewWatchStandsInTimeThoughTheFirstCallForItIsSilentToo(final String discovery) throws IOException {
-        rig.discovery = discovery;
+        fixture.discovery = discovery;
         agent(connection -> begin(connection, "\n"), connection -> {}, connection -> begin(connection, "\n"));
-        rig.start();
-        rig.await("the third call", () -> askedNs.size() == 3);
+        fixture.start();
+        fixture.await("the third call", () -> askedNs.size() == 3);
         assertTrue(msBetween(0, 2) < TOLD_MS, "it took " + msBetween(0, 2) + " ms");
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"pushed", "on_request"})
     void aWatchThatLivesButHasNoNewsEndsTheLongPausesOfAnOutage(final String discovery) throws IOException {
-        rig.discovery = discovery;
+        fixture.discovery = discovery;
         final java.util.function.Consumer<FakeServer.Connection> down = FakeServer.Connection::reset;
         agent(
                 connection -> begin(connection, "\n"),
@@ -66,31 +66,31 @@
                 down,
                 connection -> begin(connection, "\n"),
                 connection -> begin(connection, "\n"));
-        rig.start();
-        rig.await("the watch after the outage, and the one after its silence", () -> askedNs.size() == 8);
+        fixture.start();
+        fixture.await("the watch after the outage, and the one after its silence", () -> askedNs.size() == 8);
         assertTrue(msBetween(6, 7) < TOLD_MS, "it took " + msBetween(6, 7) + " ms");
     }
 
     @Test
     void aWatchThatFallsSilentInTheMiddleOfALineIsOpenedAnew() throws IOException {
-        rig.discovery = "pushed";
+        fixture.discovery = "pushed";
         final String line =
-                Rig.line(42, Rig.host("e1", rig.first, "Terminating") + "," + Rig.host("e2", rig.second, "Ready"));
+                CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating") + "," + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready"));
         agent(
                 connection -> begin(connection, "\n" + line.substring(0, line.length() / 2)),
                 connection -> begin(connection, line));
-        rig.start();
-        rig.await("the second watch", () -> askedNs.size() == 2);
+        fixture.start();
+        fixture.await("the second watch", () -> askedNs.size() == 2);
         assertTrue(msBetween(0, 1) < TOLD_MS, "it took " + msBetween(0, 1) + " ms");
-        rig.await("its news", () -> rig.log.stream().anyMatch(said -> said.startsWith("the list at 42")));
-        assertEquals(202, rig.handIn("m1", "safe").status());
-        rig.await("the call", () -> rig.second.requests.size() == 1);
-        assertEquals(0, rig.first.requests.size());
+        fixture.await("its news", () -> fixture.log.stream().anyMatch(said -> said.startsWith("the list at 42")));
+        assertEquals(202, fixture.submit("m1", "safe").status());
+        fixture.await("the call", () -> fixture.second.requests.size() == 1);
+        assertEquals(0, fixture.first.requests.size());
     }
 
     @Test
     void aWatchThatTricklesWithoutEndingALineIsSilentToo() throws IOException {
-        rig.discovery = "pushed";
+        fixture.discovery = "pushed";
         agent(
                 connection -> {
                     begin(connection, "\n");
@@ -100,8 +100,8 @@
                     }
                 },
                 connection -> begin(connection, "\n"));
-        rig.start();
-        rig.await("the second watch", () -> askedNs.size() == 2);
+        fixture.start();
+        fixture.await("the second watch", () -> askedNs.size() == 2);
         assertTrue(msBetween(0, 1) < TOLD_MS, "it took " + msBetween(0, 1) + " ms");
     }
 
@@ -116,21 +116,21 @@
 
     @Test
     void aReloadDuringThePauseOfAFailedCallAsksAtTheNewAddressAtOnce() throws IOException, InterruptedException {
-        rig.discovery = "on_request";
+        fixture.discovery = "on_request";
         agent(connection -> begin(connection, "\n"), FakeServer.Connection::reset);
-        rig.start();
+        fixture.start();
         // The pauses have grown long by then.
-        rig.watches.forEach(FakeServer.Connection::reset);
-        rig.platform.connections.forEach(FakeServer.Connection::reset);
-        rig.await("failed calls", () -> askedNs.size() >= 5);
+        fixture.watches.forEach(FakeServer.Connection::reset);
+        fixture.platform.connections.forEach(FakeServer.Connection::reset);
+        fixture.await("failed calls", () -> askedNs.size() >= 5);
         final List<Long> movedNs = new CopyOnWriteArrayList<>();
         try (FakeServer moved = new FakeServer((request, connection) -> {
             movedNs.add(System.nanoTime());
             begin(connection, "\n");
         })) {
             final long fromNs = System.nanoTime();
-            rig.reload(moved);
-            rig.await("the watch at the new address", () -> !movedNs.isEmpty());
+            fixture.reload(moved);
+            fixture.await("the watch at the new address", () -> !movedNs.isEmpty());
             final long tookMs = TimeUnit.NANOSECONDS.toMillis(movedNs.get(0) - fromNs);
             assertTrue(tookMs < TimeUnit.SECONDS.toMillis(1), "it took " + tookMs + " ms");
         }
@@ -138,28 +138,28 @@
 
     @Test
     void aListMayComeIndented() throws IOException {
-        rig.discovery = "pushed";
+        fixture.discovery = "pushed";
         agent(connection -> begin(
                 connection,
                 "{\n  \"seq\": 42,\n  \"whole\": true,\n  \"hosts\": [\n    "
-                        + Rig.host("e2", rig.second, "Ready").replace(",", ",\n      ") + "\n  ]\n}\n"));
-        rig.start();
-        assertEquals(202, rig.handIn("m1", "safe").status());
-        rig.await("the call", () -> rig.second.requests.size() == 1);
-        assertEquals(1, askedNs.size(), "the watch stands: " + rig.log);
-        assertEquals(0, rig.first.requests.size(), "the whole list has no such endpoint any more");
+                        + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready").replace(",", ",\n      ") + "\n  ]\n}\n"));
+        fixture.start();
+        assertEquals(202, fixture.submit("m1", "safe").status());
+        fixture.await("the call", () -> fixture.second.requests.size() == 1);
+        assertEquals(1, askedNs.size(), "the watch stands: " + fixture.log);
+        assertEquals(0, fixture.first.requests.size(), "the whole list has no such endpoint any more");
     }
 
     @Test
     void anIndentedListThatBreaksOffChangesNothingAndIsSaid() throws IOException {
-        rig.discovery = "pushed";
+        fixture.discovery = "pushed";
         agent(
                 connection -> begin(connection, "\n{\n  \"seq\": 42,\n  \"whole\": true,\n  \"hosts\": [\n\n"),
                 connection -> begin(connection, "\n"));
-        rig.start();
-        rig.await("the second watch", () -> askedNs.size() == 2);
-        assertTrue(rig.log.stream().anyMatch(said -> said.contains("cannot be read")), rig.log.toString());
-        assertEquals(202, rig.handIn("m1", "safe").status());
-        rig.await("the call to what was known", () -> rig.first.requests.size() == 1);
+        fixture.start();
+        fixture.await("the second watch", () -> askedNs.size() == 2);
+        assertTrue(fixture.log.stream().anyMatch(said -> said.contains("cannot be read")), fixture.log.toString());
+        assertEquals(202, fixture.submit("m1", "safe").status());
+        fixture.await("the call to what was known", () -> fixture.first.requests.size() == 1);
     }
 }
