--- a/src/main/java/railspar/bench/SettingsReader.java
+++ b/src/main/java/railspar/bench/SettingsReader.java
@@ -20,7 +20,7 @@
                     default -> Courier.WeightMeaning.NONE;
                 };
         return new Courier.Settings(
-                couriers(fields),
+                courierCount(fields),
                 fields.text("my_zone", ""),
                 fields.text("discovery", "pushed").equals("on_request"),
                 weights,
@@ -33,7 +33,7 @@
     }
 
     /** A fleet has this courier at least, whatever its size is told as: that is no reason not to serve. */
-    public static int couriers(final Fields fields) {
+    public static int courierCount(final Fields fields) {
         try {
             return (int) Math.max(1, Math.min(MOST_COURIERS, fields.whole("balancers", 1)));
         } catch (final MalformedLineException e) {
--- a/src/main/java/railspar/list/EndpointTable.java
+++ b/src/main/java/railspar/list/EndpointTable.java
@@ -10,9 +10,9 @@
 import java.util.function.LongConsumer;
 
 /**
- * The endpoints in force, packed into arrays: about 70 bytes each, no object per endpoint. Names, ids and destinations
- * are looked up at a cost that does not depend on how many there are. An id holds for as long as the name is known; it
- * is never given to another endpoint. Destinations stay known once an entry has named them.
+ * The endpoints in force, packed into arrays: about 70 bytes each, no object per endpoint. Names, ids and
+ * destinations are looked up at a cost that does not depend on how many there are. An id holds for as long as the
+ * name is known; it is never given to another endpoint. Destinations stay known once an entry has named them.
  */
 public final class EndpointTable {
     static final int NONE = -1;
@@ -131,12 +131,12 @@
 
     /** The zone of a listed endpoint. */
     public String zoneOf(final long endpoint) {
-        return zones.text(zone[listedRow(endpoint)]);
+        return zones.textOf(zone[listedRow(endpoint)]);
     }
 
     /** The name of the kind of a listed endpoint. */
     public String kindOf(final long endpoint) {
-        return kinds.text(kind[listedRow(endpoint)]);
+        return kinds.textOf(kind[listedRow(endpoint)]);
     }
 
     /** The destination of a listed endpoint. */
@@ -177,7 +177,7 @@
     }
 
     /** Visits the ids of the endpoints of a destination, in the order in which they came. */
-    public void forEachOf(final long destination, final LongConsumer visitor) {
+    public void forEachOfDestination(final long destination, final LongConsumer visitor) {
         final int index = destinationSlots[destinationSlot(destination)] - 1;
         if (index == NONE || firstRow[index] == NONE) {
             return;
@@ -234,7 +234,7 @@
     }
 
     /** True if the listed row is called at that address. */
-    boolean isAt(final int row, final StagedEntry entry) {
+    boolean hasAddressOf(final int row, final StagedEntry entry) {
         return ip[row] == entry.ip && port[row] == entry.port;
     }
 
@@ -263,11 +263,11 @@
         return kinds;
     }
 
-    void version(final long told) {
+    void setVersion(final long told) {
         version = told;
     }
 
-    void visit() {
+    void countVisit() {
         visited++;
     }
 
@@ -302,7 +302,7 @@
     boolean set(final int row, final StagedEntry entry, final int zoneNumber, final int kindNumber) {
         final boolean wasListed = state[row] >= LISTED;
         final byte condition = entry.condition == Courier.Condition.LISTED ? LISTED : DRAINING;
-        final int destination = remember(entry.destination);
+        final int destination = destinationIndex(entry.destination);
         final boolean same = wasListed
                 && state[row] == condition
                 && destinationOf[row] == destination
@@ -463,7 +463,7 @@
     }
 
     /** The index of a destination, which is remembered from now on. */
-    int remember(final long destination) {
+    int destinationIndex(final long destination) {
         final int slot = destinationSlot(destination);
         if (destinationSlots[slot] != 0) {
             return destinationSlots[slot] - 1;
--- a/src/main/java/railspar/list/EntryReader.java
+++ b/src/main/java/railspar/list/EntryReader.java
@@ -33,7 +33,7 @@
     }
 
     /** Takes a field with a plain value. */
-    void take(final String field, final JsonToken token, final JsonParser value) throws IOException {
+    void readField(final String field, final JsonToken token, final JsonParser value) throws IOException {
         switch (field) {
             case "host" -> name = text(token, value);
             case "dial" -> dial = text(token, value);
@@ -89,15 +89,15 @@
         entry.name(name);
         entry.condition = condition();
         entry.hasAddress = readAddress();
-        entry.zone = list.zones().number(zone);
-        entry.kind = list.kinds().number(kind);
-        entry.problem = problem();
+        entry.zone = list.zones().numberOf(zone);
+        entry.kind = list.kinds().numberOf(kind);
+        entry.problem = problemText();
         list.add(entry);
         return true;
     }
 
     /** What is wrong with the entry that has ended. */
-    String problem() {
+    String problemText() {
         if (isTooLong()) {
             return "a name, zone or kind of more than " + StagedList.MOST_TEXT_BYTES / BYTES_PER_CHAR + " characters";
         }
--- a/src/main/java/railspar/list/ListFormatException.java
+++ b/src/main/java/railspar/list/ListFormatException.java
@@ -11,11 +11,11 @@
         /** Not JSON, or not an object. */
         MALFORMED,
         /** An object ends before it is whole. */
-        BROKEN_OFF,
+        TRUNCATED,
         /** One object names an endpoint twice. */
         REPEATED_ENTRY,
         /** An object needs more bytes than the caller allows. */
-        OVER_BUDGET,
+        TOO_LARGE,
         /** A version lower than the one in force. */
         OLDER_VERSION
     }
--- a/src/main/java/railspar/list/ListParser.java
+++ b/src/main/java/railspar/list/ListParser.java
@@ -11,14 +11,14 @@
 import java.io.IOException;
 
 /**
- * Reads lists from bytes as they come, one JSON object after another, each over one line or several. It holds no line:
- * what an object has told so far is staged, and given away once the object is whole. An empty line between objects says
- * that the sender lives. After a fault it must not be fed again.
+ * Reads lists from bytes as they come, one JSON object after another, each over one line or several. It holds no
+ * line: what an object has told so far is staged, and given away once the object is whole. An empty line between
+ * objects says that the sender lives. After a fault it must not be fed again.
  */
 public final class ListParser {
     /**
-     * Bytes that an object may have, for each byte that there is to stage it: an entry has about three times as many as
-     * it takes staged. What is skipped counts as well, or an object that never ends would be read for ever.
+     * Bytes that an object may have, for each byte that there is to stage it: an entry has about three times as many
+     * as it takes staged. What is skipped counts as well, or an object that never ends would be read for ever.
      */
     private static final int TOLD_PER_STAGED = 8;
 
@@ -36,13 +36,13 @@
     /** Who hears what has been read. */
     public interface Listener {
         /** An object is whole. */
-        void list(StagedList list) throws IOException;
+        void onList(StagedList list) throws IOException;
 
         /** An empty line between objects. */
-        void heartbeat() throws IOException;
+        void onHeartbeat() throws IOException;
 
         /** An entry has no name; the others are not touched by that. */
-        void unusable(String problem);
+        void onUnusableEntry(String problem);
     }
 
     private final Listener listener;
@@ -113,14 +113,14 @@
     /** No more bytes come. */
     public void end() throws ListFormatException {
         if (isWithinObject()) {
-            throw new ListFormatException(Fault.BROKEN_OFF, "it breaks off");
+            throw new ListFormatException(Fault.TRUNCATED, "it breaks off");
         }
     }
 
     private void count(final int bytes) throws ListFormatException {
         told += bytes;
         if (told > TOLD_PER_STAGED * budgetBytes) {
-            throw new ListFormatException(Fault.OVER_BUDGET, "more than " + TOLD_PER_STAGED * budgetBytes + " bytes");
+            throw new ListFormatException(Fault.TOO_LARGE, "more than " + TOLD_PER_STAGED * budgetBytes + " bytes");
         }
     }
 
@@ -131,10 +131,10 @@
             return;
         }
         if (isWithinObject()) {
-            throw new ListFormatException(Fault.BROKEN_OFF, "an object breaks off");
+            throw new ListFormatException(Fault.TRUNCATED, "an object breaks off");
         }
         told = 0;
-        listener.heartbeat();
+        listener.onHeartbeat();
     }
 
     private void parse(final byte[] bytes, final int from, final int to) throws IOException {
@@ -178,13 +178,13 @@
             endList();
         } else if (token == JsonToken.START_ARRAY && field.equals("hosts")) {
             place = Place.ENTRIES;
-            list.hasEntries(true);
+            list.setHasEntries(true);
         } else if (token.isStructStart()) {
             skipped = 1;
         } else if (field.equals("seq")) {
-            list.version(tokens.getValueAsLong(StagedList.NO_VERSION));
+            list.setVersion(tokens.getValueAsLong(StagedList.NO_VERSION));
         } else if (field.equals("whole")) {
-            list.whole(tokens.getValueAsBoolean());
+            list.setFull(tokens.getValueAsBoolean());
         }
     }
 
@@ -193,10 +193,10 @@
         list = null;
         place = Place.OUTSIDE;
         told = 0;
-        if (ended.isWhole() && !ended.hasEntries()) {
+        if (ended.isFull() && !ended.hasEntries()) {
             throw new ListFormatException(Fault.MALFORMED, "a whole list without entries");
         }
-        listener.list(ended);
+        listener.onList(ended);
     }
 
     private void takeOfEntries(final JsonToken token) {
@@ -207,7 +207,7 @@
             entry.begin();
         } else {
             skipped = token.isStructStart() ? 1 : 0;
-            listener.unusable("an entry that is no object");
+            listener.onUnusableEntry("an entry that is no object");
         }
     }
 
@@ -217,12 +217,12 @@
         } else if (token == JsonToken.END_OBJECT) {
             place = Place.ENTRIES;
             if (!entry.end(list)) {
-                listener.unusable(entry.problem());
+                listener.onUnusableEntry(entry.problemText());
             }
         } else if (token.isStructStart()) {
             skipped = 1;
         } else {
-            entry.take(field, token, tokens);
+            entry.readField(field, token, tokens);
         }
     }
 }
--- a/src/main/java/railspar/list/ListStore.java
+++ b/src/main/java/railspar/list/ListStore.java
@@ -13,13 +13,13 @@
 import java.util.function.Consumer;
 
 /**
- * A copy of the list in the folder that outlasts the process: a base, and behind it each change. A restart reads it and
- * asks only for what came after its version. Nothing is synced: the folder outlasts the process, SIGKILL too, and a
- * machine that is lost loses the folder as well.
+ * A copy of the list in the folder that outlasts the process: a base, and behind it each change. A restart reads it
+ * and asks only for what came after its version. Nothing is synced: the folder outlasts the process, SIGKILL too,
+ * and a machine that is lost loses the folder as well.
  *
- * <p>Once the changes have grown as large as the base, a new base is written, so that each byte of a change costs one
- * further byte of a base; where the budget leaves less room, up to {@value #MOST_BASE_PER_CHANGE}. Where it does not
- * leave that, no copy is kept.
+ * <p>Once the changes have grown as large as the base, a new base is written, so that each byte of a change costs
+ * one further byte of a base; where the budget leaves less room, up to {@value #MOST_BASE_PER_CHANGE}. Where it does
+ * not leave that, no copy is kept.
  */
 public final class ListStore {
     private static final String FILE = "list";
@@ -50,7 +50,7 @@
     private long foundBytes;
 
     private long foundWholeBytes;
-    private BaseWriter writer;
+    private SnapshotWriter writer;
     /** Changes that are not in the file yet. */
     private final List<ByteBuffer> waiting = new ArrayList<>();
 
@@ -83,8 +83,8 @@
     // ---------------------------------------------------------------- reading
 
     /**
-     * Reads the stored list, without touching the file: another process may still own it. Null where there is none that
-     * can be used, or it is older than that version.
+     * Reads the stored list, without touching the file: another process may still own it. Null where there is none
+     * that can be used, or it is older than that version.
      */
     public EndpointTable load(final long leastVersion) {
         try {
@@ -95,8 +95,8 @@
                         + stored.table().version() + " is older than " + leastVersion + " in the configuration");
             }
             foundBytes = onDisk;
-            foundWholeBytes = stored.wholeBytes();
-            baseBytes = stored.baseBytes();
+            foundWholeBytes = stored.completeBytes();
+            baseBytes = stored.snapshotBytes();
             if (foundWholeBytes < onDisk) {
                 log.accept("the stored list: " + (onDisk - foundWholeBytes) + " bytes of a torn change are cut off");
             }
@@ -114,7 +114,7 @@
     // ---------------------------------------------------------------- the owner
 
     /** From now on this process writes the copy, and nobody else does. */
-    public void own(final EndpointTable table) {
+    public void takeOwnership(final EndpointTable table) {
         owner = true;
         try {
             Files.createDirectories(place.getParent());
@@ -157,7 +157,7 @@
     }
 
     /** Begins a new base in place of what could not be written, if there is such. */
-    public void resume(final EndpointTable table) {
+    public void resumeWriting(final EndpointTable table) {
         if (!suspended || closed) {
             return;
         }
@@ -171,7 +171,7 @@
     }
 
     /** This process writes no more: another one takes over. */
-    public void disown() {
+    public void releaseOwnership() {
         owner = false;
         closed = true;
         forgetWaiting();
@@ -179,7 +179,7 @@
     }
 
     private void closeFiles() {
-        final BaseWriter begun = writer;
+        final SnapshotWriter begun = writer;
         final FileChannel open = file;
         writer = null;
         file = null;
@@ -213,7 +213,7 @@
         }
         table.read(table.row(endpoint), entry);
         entry.condition = condition;
-        part.entry(entry, table.zones().text(entry.zone), table.kinds().text(entry.kind));
+        part.entry(entry, table.zones().textOf(entry.zone), table.kinds().textOf(entry.kind));
         if (part.isFull()) {
             endPart(StoredRecord.CHANGE_PART);
         }
@@ -294,7 +294,7 @@
         // The base has them all.
         forgetWaiting();
         behind = false;
-        writer = new BaseWriter(next, place, fingerprint, table.version());
+        writer = new SnapshotWriter(next, place, fingerprint, table.version());
     }
 
     /** True while a base is being written: {@link #writeSlice} is due. */
@@ -325,7 +325,7 @@
     }
 
     private void endBase(final EndpointTable table) throws IOException {
-        final long ended = writer.end();
+        final long ended = writer.finish();
         final FileChannel fresh = writer.replace(waiting);
         size = writer.size();
         baseBytes = ended;
@@ -349,7 +349,7 @@
     /** Keeps no copy from now on: a torn or old one would be of no use. */
     private void giveUp(final String reason) {
         log.accept("no copy of the list is kept: " + reason);
-        disown();
+        releaseOwnership();
         try {
             Files.deleteIfExists(next);
             Files.deleteIfExists(place);
--- a/src/main/java/railspar/list/BaseWriter.java
+++ b/src/main/java/railspar/list/SnapshotWriter.java
@@ -11,10 +11,10 @@
 
 /**
  * Writes the table to a new file, a slice at a time, and puts it in the place of the old one. The table may change
- * between two slices: the base bears the version with which it was begun, the changes since then are written behind it,
- * and reading them again in their order gives the table as it is, whichever of them a slice has seen already.
+ * between two slices: the base bears the version with which it was begun, the changes since then are written behind
+ * it, and reading them again in their order gives the table as it is, whichever of them a slice has seen already.
  */
-final class BaseWriter {
+final class SnapshotWriter {
     /** Rows that one slice looks at: some 25 KB, well under a millisecond. */
     private static final int SLICE_ROWS = 512;
 
@@ -26,7 +26,7 @@
     private int row;
     private long entries;
 
-    BaseWriter(final Path next, final Path place, final long fingerprint, final long version) throws IOException {
+    SnapshotWriter(final Path next, final Path place, final long fingerprint, final long version) throws IOException {
         this.next = next;
         this.place = place;
         this.file = FileChannel.open(
@@ -59,7 +59,7 @@
         for (; row < until; row++) {
             if (table.isListedRow(row)) {
                 table.read(row, entry);
-                block.entry(entry, table.zones().text(entry.zone), table.kinds().text(entry.kind));
+                block.entry(entry, table.zones().textOf(entry.zone), table.kinds().textOf(entry.kind));
                 if (block.isFull()) {
                     block = flush(block);
                 }
@@ -78,7 +78,7 @@
     }
 
     /** Ends the base; the result is its size. */
-    long end() throws IOException {
+    long finish() throws IOException {
         write(new StoredRecord.Builder().number(entries).build(StoredRecord.BASE_END));
         return size;
     }
--- a/src/main/java/railspar/list/StagedList.java
+++ b/src/main/java/railspar/list/StagedList.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * What one object of the list holds, packed, until the object is whole and can be applied. It refuses to grow beyond a
- * budget, and to take a name twice.
+ * What one object of the list holds, packed, until the object is whole and can be applied. It refuses to grow beyond
+ * a budget, and to take a name twice.
  */
 public final class StagedList {
     /** The version of a list that tells none. */
@@ -50,7 +50,7 @@
     }
 
     /** True if it names all endpoints, and not only changed ones. */
-    public boolean isWhole() {
+    public boolean isFull() {
         return whole;
     }
 
@@ -64,7 +64,7 @@
         return hasEntries;
     }
 
-    void hasEntries(final boolean told) {
+    void setHasEntries(final boolean told) {
         hasEntries = told;
     }
 
@@ -78,11 +78,11 @@
         return (long) pages.size() * PAGE_BYTES + (long) slots.length * Integer.BYTES + zones.bytes() + kinds.bytes();
     }
 
-    void whole(final boolean all) {
+    void setFull(final boolean all) {
         whole = all;
     }
 
-    void version(final long told) {
+    void setVersion(final long told) {
         version = told;
     }
 
@@ -117,7 +117,7 @@
     private void requireBudget() throws ListFormatException {
         if (bytes() > budgetBytes) {
             throw new ListFormatException(
-                    ListFormatException.Fault.OVER_BUDGET,
+                    ListFormatException.Fault.TOO_LARGE,
                     "it needs more than the " + budgetBytes + " bytes there are for it");
         }
     }
--- a/src/main/java/railspar/list/StoredList.java
+++ b/src/main/java/railspar/list/StoredList.java
@@ -16,8 +16,8 @@
     private final StagedEntry entry = new StagedEntry();
     private StagedList change = new StagedList(STAGED_BYTES);
     private long position;
-    private long baseBytes;
-    private long wholeBytes;
+    private long snapshotBytes;
+    private long completeBytes;
 
     /** Why a stored list cannot be used. */
     static final class UnusableException extends IOException {
@@ -36,7 +36,7 @@
         try (DataInputStream in = new DataInputStream(new BufferedInputStream(Files.newInputStream(file)))) {
             final long version = stored.header(in, fingerprint);
             stored.base(in);
-            stored.table.version(version);
+            stored.table.setVersion(version);
             stored.changes(in);
         }
         return stored;
@@ -47,13 +47,13 @@
     }
 
     /** Bytes of the base. */
-    long baseBytes() {
-        return baseBytes;
+    long snapshotBytes() {
+        return snapshotBytes;
     }
 
     /** Bytes up to the end of the last whole change. */
-    long wholeBytes() {
-        return wholeBytes;
+    long completeBytes() {
+        return completeBytes;
     }
 
     private byte[] next(final DataInputStream in) throws IOException {
@@ -95,8 +95,8 @@
                 || fields(content).readLong() != read) {
             throw new UnusableException("its base is torn");
         }
-        baseBytes = position;
-        wholeBytes = position;
+        snapshotBytes = position;
+        completeBytes = position;
     }
 
     private void changes(final DataInputStream in) throws IOException {
@@ -104,10 +104,10 @@
         while (content != null && (content[0] == StoredRecord.CHANGE_PART || content[0] == StoredRecord.CHANGE_END)) {
             if (content[0] == StoredRecord.CHANGE_END) {
                 final DataInputStream fields = fields(content);
-                change.version(fields.readLong());
+                change.setVersion(fields.readLong());
                 stage(fields);
                 applyChange();
-                wholeBytes = position;
+                completeBytes = position;
             } else {
                 stage(fields(content));
             }
@@ -132,17 +132,17 @@
 
     private static final TableUpdate.Listener IGNORED = new TableUpdate.Listener() {
         @Override
-        public void named(final long endpoint, final TableUpdate.Change what) {
+        public void onEntry(final long endpoint, final TableUpdate.Change what) {
             // The whole table is told once it is read.
         }
 
         @Override
-        public void removed(final long endpoint) {
+        public void onRemoved(final long endpoint) {
             // As above.
         }
 
         @Override
-        public void unusable(final String problem) {
+        public void onUnusableEntry(final String problem) {
             // What is stored was in force.
         }
     };
--- a/src/main/java/railspar/list/StoredRecord.java
+++ b/src/main/java/railspar/list/StoredRecord.java
@@ -99,8 +99,8 @@
         into.hasDestination = true;
         into.ip = in.readInt();
         into.port = in.readChar();
-        into.zone = list.zones().number(in.readUTF());
-        into.kind = list.kinds().number(in.readUTF());
+        into.zone = list.zones().numberOf(in.readUTF());
+        into.kind = list.kinds().numberOf(in.readUTF());
         into.destination = in.readLong();
         into.weight = in.readDouble();
         into.problem = null;
--- a/src/main/java/railspar/list/TableUpdate.java
+++ b/src/main/java/railspar/list/TableUpdate.java
@@ -5,8 +5,8 @@
 import java.util.stream.IntStream;
 
 /**
- * Applies a list to the table and tells what that changed. A change costs what it holds; a whole list is one pass over
- * its entries and one over the table's rows.
+ * Applies a list to the table and tells what that changed. A change costs what it holds; a whole list is one pass
+ * over its entries and one over the table's rows.
  */
 public final class TableUpdate {
     /** What a list's word on an endpoint changed. */
@@ -19,20 +19,20 @@
         MOVED,
         /** Nothing has changed. */
         SAME,
-        /** The list says that it is gone: {@link Listener#removed} follows. */
+        /** The list says that it is gone: {@link Listener#onRemoved} follows. */
         GONE
     }
 
     /** Who hears of each entry, while the endpoint can be looked up in the table. */
     public interface Listener {
         /** The list names an endpoint, as the table has it now. */
-        void named(long endpoint, Change change);
+        void onEntry(long endpoint, Change change);
 
         /** An endpoint is about to leave the table: it is gone, or a whole list does not name it. */
-        void removed(long endpoint);
+        void onRemoved(long endpoint);
 
         /** An entry cannot be used; of one that is known, its condition may be. */
-        void unusable(String problem);
+        void onUnusableEntry(String problem);
     }
 
     private final EndpointTable table;
@@ -59,8 +59,8 @@
     /**
      * Applies a list.
      *
-     * @throws ListFormatException if its version is lower than the one in force, or it has more zones or kinds than can
-     *     be numbered; the table's endpoints are as before then
+     * @throws ListFormatException if its version is lower than the one in force, or it has more zones or kinds than
+     * can be numbered; the table's endpoints are as before then
      */
     public static void apply(final EndpointTable table, final StagedList list, final Listener listener)
             throws ListFormatException {
@@ -75,42 +75,42 @@
     private static int[] numbers(final TextDictionary from, final TextDictionary to) throws ListFormatException {
         final int[] numbers = new int[from.size()];
         for (int index = 0; index < numbers.length; index++) {
-            numbers[index] = to.number(from.text(index));
+            numbers[index] = to.numberOf(from.textOf(index));
         }
         return numbers;
     }
 
     private void run() {
         list.forEach(this::take);
-        if (list.isWhole()) {
+        if (list.isFull()) {
             findMissing();
         }
         gone.build().forEach(row -> {
-            listener.removed(table.id(row));
+            listener.onRemoved(table.id(row));
             table.remove(row);
         });
         table.compactNames();
         if (list.version() != StagedList.NO_VERSION) {
-            table.version(list.version());
+            table.setVersion(list.version());
         }
     }
 
     private void take(final StagedEntry entry) {
-        table.visit();
+        table.countVisit();
         final int row = table.find(entry);
         final boolean known = row != EndpointTable.NONE && table.isListedRow(row);
         if (!entry.isComplete()) {
-            listener.unusable(entry.problem);
+            listener.onUnusableEntry(entry.problem);
             if (known) {
                 takeCondition(row, entry.condition);
             }
         } else if (entry.condition == Courier.Condition.GONE) {
-            table.remember(entry.destination);
+            table.destinationIndex(entry.destination);
             if (row != EndpointTable.NONE) {
                 goes(row);
             }
         } else if (known) {
-            final boolean moved = entry.hasAddress && !table.isAt(row, entry);
+            final boolean moved = entry.hasAddress && !table.hasAddressOf(row, entry);
             final boolean changed = set(row, entry);
             stays(row, changed ? Change.CHANGED : moved ? Change.MOVED : Change.SAME);
         } else if (entry.hasAddress) {
@@ -119,7 +119,7 @@
             set(fresh, entry);
             stays(fresh, Change.ADDED);
         } else {
-            listener.unusable(entry.problem);
+            listener.onUnusableEntry(entry.problem);
         }
     }
 
@@ -137,27 +137,27 @@
     }
 
     private void isNamed(final int row) {
-        if (list.isWhole()) {
+        if (list.isFull()) {
             named.set(row);
         }
     }
 
     private void stays(final int row, final Change change) {
         isNamed(row);
-        listener.named(table.id(row), change);
+        listener.onEntry(table.id(row), change);
     }
 
     private void goes(final int row) {
         isNamed(row);
         if (table.isListedRow(row)) {
-            listener.named(table.id(row), Change.GONE);
+            listener.onEntry(table.id(row), Change.GONE);
         }
         gone.add(row);
     }
 
     private void findMissing() {
         for (int row = 0; row < table.rows(); row++) {
-            table.visit();
+            table.countVisit();
             if (table.isListedRow(row) && !named.get(row)) {
                 gone.add(row);
             }
--- a/src/main/java/railspar/list/TextDictionary.java
+++ b/src/main/java/railspar/list/TextDictionary.java
@@ -17,14 +17,14 @@
     private long bytes;
 
     /** The number of a text, which is given one if it has none. */
-    int number(final String text) throws ListFormatException {
+    int numberOf(final String text) throws ListFormatException {
         final Integer known = numbers.get(text);
         if (known != null) {
             return known;
         }
         if (texts.size() == MOST_TEXTS) {
             throw new ListFormatException(
-                    ListFormatException.Fault.OVER_BUDGET, "more than " + MOST_TEXTS + " different zones or kinds");
+                    ListFormatException.Fault.TOO_LARGE, "more than " + MOST_TEXTS + " different zones or kinds");
         }
         numbers.put(text, texts.size());
         texts.add(text);
@@ -32,7 +32,7 @@
         return texts.size() - 1;
     }
 
-    String text(final int number) {
+    String textOf(final int number) {
         return texts.get(number);
     }
 
--- a/src/main/java/railspar/node/Config.java
+++ b/src/main/java/railspar/node/Config.java
@@ -104,8 +104,8 @@
         final Fields fields = Fields.of(values, SOURCE);
         final Fields settings = Fields.of(settingValues, SOURCE);
         final String fleet = settingValues.get("balancers");
-        if (!Integer.toString(SettingsReader.couriers(settings)).equals(fleet)) {
-            Log.info("a fleet of " + fleet + " couriers is taken as one of " + SettingsReader.couriers(settings));
+        if (!Integer.toString(SettingsReader.courierCount(settings)).equals(fleet)) {
+            Log.info("a fleet of " + fleet + " couriers is taken as one of " + SettingsReader.courierCount(settings));
         }
         try {
             final String mgmt = fields.text("mgmt", "");
--- a/src/main/java/railspar/node/ConfiguredList.java
+++ b/src/main/java/railspar/node/ConfiguredList.java
@@ -79,17 +79,17 @@
         }
 
         @Override
-        public void list(final StagedList read) {
+        public void onList(final StagedList read) {
             list = read;
         }
 
         @Override
-        public void heartbeat() {
+        public void onHeartbeat() {
             // An empty line means nothing here.
         }
 
         @Override
-        public void unusable(final String problem) {
+        public void onUnusableEntry(final String problem) {
             unusable.accept(problem);
         }
     }
--- a/src/main/java/railspar/node/Discovery.java
+++ b/src/main/java/railspar/node/Discovery.java
@@ -95,7 +95,7 @@
     @Override
     public List<Courier.Endpoint> endpointsOf(final long destination) {
         final List<Courier.Endpoint> entries = new ArrayList<>();
-        table.forEachOf(destination, endpoint -> entries.add(endpoint(endpoint, table.conditionOf(endpoint))));
+        table.forEachOfDestination(destination, endpoint -> entries.add(endpoint(endpoint, table.conditionOf(endpoint))));
         return entries;
     }
 
@@ -227,7 +227,7 @@
 
     @Override
     public void onList(final StagedList list) throws ListFormatException {
-        apply(list, list.isWhole() ? Courier.ListUpdate.FULL : Courier.ListUpdate.INCREMENTAL);
+        apply(list, list.isFull() ? Courier.ListUpdate.FULL : Courier.ListUpdate.INCREMENTAL);
         start.listReceived();
     }
 
@@ -270,19 +270,19 @@
 
     /** This process owns what lies in the folder: it keeps the copy of the list from now on. */
     void startPersisting() {
-        store.own(table);
+        store.takeOwnership(table);
         writeStore();
         loop.scheduleWithFixedDelay(this::resumeStore, STORE_AGAIN_MS, STORE_AGAIN_MS, TimeUnit.MILLISECONDS);
     }
 
     private void resumeStore() {
-        store.resume(table);
+        store.resumeWriting(table);
         writeStore();
     }
 
     /** Another process does from now on. */
     void stopPersisting() {
-        store.disown();
+        store.releaseOwnership();
     }
 
     /** A base is written in slices, so that whatever else is due comes in between. */
@@ -313,7 +313,7 @@
         }
 
         @Override
-        public void named(final long endpoint, final TableUpdate.Change change) {
+        public void onEntry(final long endpoint, final TableUpdate.Change change) {
             named++;
             if (change == TableUpdate.Change.SAME || change == TableUpdate.Change.GONE) {
                 return;
@@ -339,7 +339,7 @@
         }
 
         @Override
-        public void removed(final long endpoint) {
+        public void onRemoved(final long endpoint) {
             gone.add(endpoint);
             final Courier.Endpoint before = endpoint(endpoint);
             unlisted.remove(endpoint);
@@ -358,7 +358,7 @@
         }
 
         @Override
-        public void unusable(final String problem) {
+        public void onUnusableEntry(final String problem) {
             Discovery.this.onUnusableEntry(problem);
         }
     }
--- a/src/main/java/railspar/node/Watch.java
+++ b/src/main/java/railspar/node/Watch.java
@@ -201,7 +201,7 @@
     /** What the parser has read. */
     private final class Lists implements ListParser.Listener {
         @Override
-        public void list(final StagedList list) throws ListFormatException {
+        public void onList(final StagedList list) throws ListFormatException {
             listen();
             owner.onList(Watch.this, list);
             answered = true;
@@ -209,7 +209,7 @@
         }
 
         @Override
-        public void heartbeat() {
+        public void onHeartbeat() {
             listen();
             unused = 0;
             heartbeats++;
@@ -220,7 +220,7 @@
         }
 
         @Override
-        public void unusable(final String problem) {
+        public void onUnusableEntry(final String problem) {
             owner.onUnusableEntry(problem);
         }
     }
@@ -242,7 +242,7 @@
         }
         if (owner.isCurrent(this) && isReceiving()) {
             spoilt = true;
-            owner.onInvalidList(new ListFormatException(ListFormatException.Fault.BROKEN_OFF, "it breaks off"));
+            owner.onInvalidList(new ListFormatException(ListFormatException.Fault.TRUNCATED, "it breaks off"));
         }
         owner.onEnded(this);
     }
--- a/src/main/java/railspar/scale/fleet/CourierList.java
+++ b/src/main/java/railspar/scale/fleet/CourierList.java
@@ -45,7 +45,7 @@
         final ListStore store = new ListStore(folder, FINGERPRINT, STORE_BYTES, message -> {});
         final EndpointTable found = store.load(0);
         final CourierList list = new CourierList(found == null ? new EndpointTable() : found, store);
-        store.own(list.table);
+        store.takeOwnership(list.table);
         list.writeStore();
         return list;
     }
@@ -101,7 +101,7 @@
     @Override
     public List<Courier.Endpoint> endpointsOf(final long destination) {
         final List<Courier.Endpoint> endpoints = new ArrayList<>();
-        table.forEachOf(destination, id -> endpoints.add(endpoint(id)));
+        table.forEachOfDestination(destination, id -> endpoints.add(endpoint(id)));
         return endpoints;
     }
 
@@ -125,7 +125,7 @@
         private final List<Courier.Endpoint> entries = new ArrayList<>();
 
         @Override
-        public void list(final StagedList list) throws IOException {
+        public void onList(final StagedList list) throws IOException {
             TableUpdate.apply(table, list, this);
             if (store != null) {
                 store.commit(table);
@@ -134,12 +134,12 @@
         }
 
         @Override
-        public void heartbeat() {
+        public void onHeartbeat() {
             // Nothing has changed.
         }
 
         @Override
-        public void named(final long endpoint, final TableUpdate.Change change) {
+        public void onEntry(final long endpoint, final TableUpdate.Change change) {
             if (store != null && change != TableUpdate.Change.SAME) {
                 store.put(table, endpoint);
             }
@@ -149,7 +149,7 @@
         }
 
         @Override
-        public void removed(final long endpoint) {
+        public void onRemoved(final long endpoint) {
             if (store != null) {
                 store.remove(table, endpoint);
             }
@@ -157,7 +157,7 @@
         }
 
         @Override
-        public void unusable(final String problem) {
+        public void onUnusableEntry(final String problem) {
             throw new IllegalStateException("an entry of the emulator's own list cannot be used: " + problem);
         }
     }
--- a/src/main/java/railspar/scale/slope/ListTable.java
+++ b/src/main/java/railspar/scale/slope/ListTable.java
@@ -12,8 +12,8 @@
 import java.util.List;
 
 /**
- * The courier's table of endpoints, kept up to date by its parser from the bytes of the protocol, and looked up by the
- * decisions as in {@code Discovery}. Nothing is held but the table and the parser.
+ * The courier's table of endpoints, kept up to date by its parser from the bytes of the protocol, and looked up by
+ * the decisions as in {@code Discovery}. Nothing is held but the table and the parser.
  */
 final class ListTable implements Courier.Directory {
     /** The place of the sample's one kind of endpoint. */
@@ -63,7 +63,7 @@
     @Override
     public List<Courier.Endpoint> endpointsOf(final long destination) {
         final List<Courier.Endpoint> endpoints = new ArrayList<>();
-        table.forEachOf(destination, id -> endpoints.add(endpoint(id)));
+        table.forEachOfDestination(destination, id -> endpoints.add(endpoint(id)));
         return endpoints;
     }
 
@@ -79,17 +79,17 @@
     /** Puts each whole object into force. */
     private final class Lists implements ListParser.Listener {
         @Override
-        public void list(final StagedList list) throws IOException {
+        public void onList(final StagedList list) throws IOException {
             TableUpdate.apply(table, list, changes);
         }
 
         @Override
-        public void heartbeat() {
+        public void onHeartbeat() {
             // Nothing has changed.
         }
 
         @Override
-        public void unusable(final String problem) {
+        public void onUnusableEntry(final String problem) {
             throw new IllegalStateException("an entry of the sample cannot be used: " + problem);
         }
     }
@@ -97,17 +97,17 @@
     /** For a table that tells nobody what changed. */
     static class IgnoredChanges implements TableUpdate.Listener {
         @Override
-        public void named(final long endpoint, final TableUpdate.Change change) {
+        public void onEntry(final long endpoint, final TableUpdate.Change change) {
             // Looked up in the table when it is needed.
         }
 
         @Override
-        public void removed(final long endpoint) {
+        public void onRemoved(final long endpoint) {
             // As above.
         }
 
         @Override
-        public void unusable(final String problem) {
+        public void onUnusableEntry(final String problem) {
             throw new IllegalStateException("an entry of the sample cannot be used: " + problem);
         }
     }
--- a/src/main/java/railspar/scale/slope/StoredListSample.java
+++ b/src/main/java/railspar/scale/slope/StoredListSample.java
@@ -26,7 +26,7 @@
         }
         store = newStore();
         list = new ListTable(new KeptChanges());
-        store.own(list.table());
+        store.takeOwnership(list.table());
         change(ListSample.wholeListBytes(destinations));
     }
 
@@ -37,12 +37,12 @@
     /** Writes the whole copy anew, as the first process in a folder does. */
     void writeAll() {
         final ListStore fresh = newStore();
-        fresh.own(list.table());
+        fresh.takeOwnership(list.table());
         fresh.commit(list.table());
         while (fresh.isWriting()) {
             fresh.writeSlice(list.table());
         }
-        fresh.disown();
+        fresh.releaseOwnership();
     }
 
     /** Takes a list from the watch's bytes and appends what it changes to the copy, or writes the copy anew. */
@@ -78,7 +78,7 @@
 
     @Override
     public void close() {
-        store.disown();
+        store.releaseOwnership();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
             for (final Path file : files) {
                 Files.delete(file);
@@ -92,14 +92,14 @@
     /** Gives the store what a list changes, as {@code Discovery} does. */
     private final class KeptChanges extends ListTable.IgnoredChanges {
         @Override
-        public void named(final long endpoint, final TableUpdate.Change change) {
+        public void onEntry(final long endpoint, final TableUpdate.Change change) {
             if (change != TableUpdate.Change.SAME && change != TableUpdate.Change.GONE) {
                 store.put(list.table(), endpoint);
             }
         }
 
         @Override
-        public void removed(final long endpoint) {
+        public void onRemoved(final long endpoint) {
             store.remove(list.table(), endpoint);
         }
     }
--- a/src/test/java/railspar/list/EndpointTableTest.java
+++ b/src/test/java/railspar/list/EndpointTableTest.java
@@ -29,7 +29,7 @@
 
     private List<String> namesAt(final long destination) {
         final List<String> names = new ArrayList<>();
-        table.forEachOf(destination, endpoint -> names.add(table.nameOf(endpoint)));
+        table.forEachOfDestination(destination, endpoint -> names.add(table.nameOf(endpoint)));
         return names;
     }
 
--- a/src/test/java/railspar/list/ListParserTest.java
+++ b/src/test/java/railspar/list/ListParserTest.java
@@ -84,7 +84,7 @@
             parser.feed(bytes, 0, length);
             assertTrue(parser.isWithinObject());
             assertEquals(
-                    Fault.BROKEN_OFF,
+                    Fault.TRUNCATED,
                     assertThrows(ListFormatException.class, parser::end).fault());
             assertEquals(List.of(), told.events);
         }
@@ -107,7 +107,7 @@
 
     @Test
     void anObjectThatAnEmptyLineBreaksOffIsNamed() {
-        assertEquals(Fault.BROKEN_OFF, fault("{\n \"seq\": 42,\n\n"));
+        assertEquals(Fault.TRUNCATED, fault("{\n \"seq\": 42,\n\n"));
     }
 
     @Test
@@ -121,15 +121,15 @@
 
     @Test
     void anObjectLargerThanItsBudgetIsRefused() {
-        assertEquals(Fault.OVER_BUDGET, fault(TestLists.fleet(1, 5000), 100_000));
+        assertEquals(Fault.TOO_LARGE, fault(TestLists.fleet(1, 5000), 100_000));
     }
 
     @Test
     void whatNeverEndsIsRefusedWhereverItGoesOn() {
         assertEquals(
-                Fault.OVER_BUDGET, fault("{\"hosts\":[" + (ONE.replace("e1", "")) + ",5".repeat(500_000), 100_000));
-        assertEquals(Fault.OVER_BUDGET, fault(" ".repeat(900_000), 100_000));
-        assertEquals(Fault.OVER_BUDGET, fault("{\"x\":[" + "1,".repeat(500_000), 100_000));
+                Fault.TOO_LARGE, fault("{\"hosts\":[" + (ONE.replace("e1", "")) + ",5".repeat(500_000), 100_000));
+        assertEquals(Fault.TOO_LARGE, fault(" ".repeat(900_000), 100_000));
+        assertEquals(Fault.TOO_LARGE, fault("{\"x\":[" + "1,".repeat(500_000), 100_000));
         assertEquals(Fault.MALFORMED, fault("{\"x\":\"" + "y".repeat(500_000), 100_000));
     }
 
--- a/src/test/java/railspar/list/ListStoreTest.java
+++ b/src/test/java/railspar/list/ListStoreTest.java
@@ -45,7 +45,7 @@
         }
 
         Courier own() {
-            store.own(table);
+            store.takeOwnership(table);
             return this;
         }
 
@@ -68,19 +68,19 @@
         /** Tells the store what a list changed. */
         private final class Kept implements TableUpdate.Listener {
             @Override
-            public void named(final long endpoint, final TableUpdate.Change change) {
+            public void onEntry(final long endpoint, final TableUpdate.Change change) {
                 if (change != TableUpdate.Change.SAME && change != TableUpdate.Change.GONE) {
                     store.put(table, endpoint);
                 }
             }
 
             @Override
-            public void removed(final long endpoint) {
+            public void onRemoved(final long endpoint) {
                 store.remove(table, endpoint);
             }
 
             @Override
-            public void unusable(final String problem) {
+            public void onUnusableEntry(final String problem) {
                 throw new AssertionError(problem);
             }
         }
@@ -130,7 +130,7 @@
         }
         courier.take(TestLists.list(7, true, TestLists.entry("e9", AT, 4, "Terminating")));
         states.add(TestLists.describe(courier.table));
-        courier.store.disown();
+        courier.store.releaseOwnership();
         return states;
     }
 
@@ -168,7 +168,7 @@
             courier.table = found;
             courier.own().take(change(99, 50, "Ready"));
             courier.finish();
-            courier.store.disown();
+            courier.store.releaseOwnership();
             assertEquals(TestLists.describe(courier.table), TestLists.describe(load()), "it goes on behind the cut");
         }
         assertEquals(states.size() - 2, last, "the last change needs its last byte");
@@ -238,7 +238,7 @@
         final Courier serving = new Courier(BUDGET).load().own();
         serving.take(change(8, 1, "Ready"));
         waiting.take(change(8, 1, "Ready"));
-        serving.store.disown();
+        serving.store.releaseOwnership();
         waiting.own();
         assertTrue(waiting.store.isWriting());
         waiting.finish();
--- a/src/test/java/railspar/list/TestLists.java
+++ b/src/test/java/railspar/list/TestLists.java
@@ -46,18 +46,18 @@
         final List<String> events = new ArrayList<>();
 
         @Override
-        public void list(final StagedList list) {
+        public void onList(final StagedList list) {
             lists.add(list);
-            events.add("list " + list.version() + " " + list.isWhole() + " " + entries(list));
+            events.add("list " + list.version() + " " + list.isFull() + " " + entries(list));
         }
 
         @Override
-        public void heartbeat() {
+        public void onHeartbeat() {
             events.add("heartbeat");
         }
 
         @Override
-        public void unusable(final String problem) {
+        public void onUnusableEntry(final String problem) {
             events.add("unusable " + problem);
         }
     }
@@ -70,9 +70,9 @@
                 .append(entry.hasDestination ? " to " + entry.destination : " nowhere")
                 .append(entry.hasAddress ? " at " + Integer.toHexString(entry.ip) + ":" + entry.port : " unreachable")
                 .append(' ')
-                .append(list.zones().text(entry.zone))
+                .append(list.zones().textOf(entry.zone))
                 .append(' ')
-                .append(list.kinds().text(entry.kind))
+                .append(list.kinds().textOf(entry.kind))
                 .append(' ')
                 .append(entry.weight)
                 .append("; "));
@@ -96,17 +96,17 @@
         }
 
         @Override
-        public void named(final long endpoint, final TableUpdate.Change change) {
+        public void onEntry(final long endpoint, final TableUpdate.Change change) {
             events.add(change + " " + table.nameOf(endpoint));
         }
 
         @Override
-        public void removed(final long endpoint) {
+        public void onRemoved(final long endpoint) {
             events.add("removed " + table.nameOf(endpoint));
         }
 
         @Override
-        public void unusable(final String problem) {
+        public void onUnusableEntry(final String problem) {
             events.add("unusable " + problem);
         }
     }
