--- a/src/main/java/railspar/Control.java
+++ b/src/main/java/railspar/Control.java
@@ -1,6 +1,5 @@
 package railspar;
 
-import railspar.RouteState.Phase;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -15,6 +14,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import railspar.RouteState.Phase;
 
 /**
  * Every decision of one courier; its interface is {@code Courier.java}. How it decides, from the top:
@@ -179,7 +179,7 @@
     /** Destinations with messages: all that a decision looks at, however long the list is. */
     private final Map<Long, DestinationState> busy = new TreeMap<>();
 
-    private final Map<String, MessageState> jobs = new LinkedHashMap<>();
+    private final Map<String, Delivery> jobs = new LinkedHashMap<>();
     private final Map<String, KeyQueue> keys = new LinkedHashMap<>();
     private final double[] classMeanUs;
     private final int[] classSamples;
@@ -223,7 +223,7 @@
     @Override
     public void onMessage(final long now, final Message message) {
         nowUs = now;
-        final MessageState job = new MessageState(message, settings.classes().get(message.messageClass()));
+        final Delivery job = new Delivery(message, settings.classes().get(message.messageClass()));
         jobs.put(message.id(), job);
         open++;
         job.overQuota = overQuota(message.tenant());
@@ -259,7 +259,7 @@
     @Override
     public void onMessageResumed(final long now, final Message message, final AttemptHistory past) {
         onMessage(now, message);
-        final MessageState job = jobs.get(message.id());
+        final Delivery job = jobs.get(message.id());
         job.attempts = past.attempts();
         job.mayHaveRun = past.mayHaveTakenEffect();
         if (job.mayHaveRun) {
@@ -269,15 +269,16 @@
                 job.line.restUntilUs = nowUs + guarantees.orderingDelayUs();
             }
         }
-        final EndpointState node =
-                past.inheritedCall() == null ? null : destinations.endpointState(past.inheritedCall().endpoint());
+        final EndpointState node = past.inheritedCall() == null
+                ? null
+                : destinations.endpoint(past.inheritedCall().endpoint());
         if (node != null) {
             goesOn(job, node, past.inheritedCall().sentUs());
         }
     }
 
     /** A call of the process before this one holds slot and place; messages sent at once share one. */
-    private void goesOn(final MessageState job, final EndpointState node, final long sentUs) {
+    private void goesOn(final Delivery job, final EndpointState node, final long sentUs) {
         final int most = node.route.destinationKind.messagesPerCall();
         final Call call = node.route.calls.stream()
                 .filter(one -> one.node == node && one.sentUs == sentUs && one.messages < most)
@@ -297,7 +298,7 @@
     @Override
     public void onAttemptInterrupted(final long now, final String messageId) {
         nowUs = now;
-        final MessageState job = jobs.get(messageId);
+        final Delivery job = jobs.get(messageId);
         if (job != null && job.call != null) {
             settle(job, Result.CANCELLED);
             goOn(job, false);
@@ -308,7 +309,7 @@
     public EndpointSnapshot snapshot(final long now, final long endpoint) {
         final Map<String, Double> figures = new TreeMap<>();
         final Map<String, Long> times = new TreeMap<>();
-        final EndpointState node = destinations.existingEndpointState(endpoint);
+        final EndpointState node = destinations.knownEndpoint(endpoint);
         if (node != null) {
             final Route lane = node.route;
             lane.writeTo(figures, times);
@@ -326,7 +327,7 @@
     @Override
     public void onEndpointSnapshot(final long now, final long endpoint, final EndpointSnapshot standing) {
         nowUs = now;
-        final EndpointState node = standing.values().isEmpty() ? null : destinations.endpointState(endpoint);
+        final EndpointState node = standing.values().isEmpty() ? null : destinations.endpoint(endpoint);
         if (node == null) {
             return;
         }
@@ -352,7 +353,7 @@
     @Override
     public void onOutcome(final long now, final Outcome outcome) {
         nowUs = now;
-        final MessageState job = jobs.get(outcome.messageId());
+        final Delivery job = jobs.get(outcome.messageId());
         if (job == null || job.call == null) {
             return;
         }
@@ -364,7 +365,7 @@
     @Override
     public void onRetryAfter(final long now, final long endpoint, final long waitUs) {
         nowUs = now;
-        Optional.ofNullable(destinations.endpointState(endpoint)).ifPresent(node -> wait(node.route, waitUs));
+        Optional.ofNullable(destinations.endpoint(endpoint)).ifPresent(node -> wait(node.route, waitUs));
     }
 
     private void wait(final Route lane, final long waitUs) {
@@ -372,7 +373,7 @@
     }
 
     /** With no attempt out: a message that is over ends, another waits for its next turn. */
-    private void goOn(final MessageState job, final boolean over) {
+    private void goOn(final Delivery job, final boolean over) {
         if (over || job.over) {
             end(job);
         } else {
@@ -381,7 +382,7 @@
     }
 
     /** An attempt is out no more: what that says of the message, and what it frees. */
-    private Call settle(final MessageState job, final Result result) {
+    private Call settle(final Delivery job, final Result result) {
         final Call call = job.call;
         final EndpointState node = call.node;
         job.call = null;
@@ -429,7 +430,7 @@
 
     @Override
     public String describe(final long id) {
-        final StringBuilder text = new StringBuilder("slots ").append(callsOut + "/" + limits.maxCallsInFlight());
+        final StringBuilder text = new StringBuilder("slots ").append(callsOut + "/" + limits.maxCalls());
         final DestinationState destination = destinations.get(id);
         if (destination != null) {
             text.append(", waiting ").append(destination.waiting.size());
@@ -461,7 +462,7 @@
 
     private static boolean isAvoided(final EndpointState node, final long now) {
         return node.out
-                || node.route.phase == Phase.PROBING
+                || node.route.phase == Phase.PROBE
                 || Arrays.stream(node.avoidUntilUs).allMatch(untilUs -> untilUs > now);
     }
 
@@ -469,13 +470,13 @@
 
     /** Sends, best first, until no slot is free or no message may go; a send changes its destination only. */
     private void dispatch() {
-        final Map<DestinationState, MessageState> candidates = new LinkedHashMap<>();
-        while (callsOut < limits.maxCallsInFlight()) {
+        final Map<DestinationState, Delivery> candidates = new LinkedHashMap<>();
+        while (callsOut < limits.maxCalls()) {
             if (candidates.isEmpty()) {
                 busy.values().forEach(destination -> candidates.put(destination, best(destination, true)));
             }
-            MessageState best = null;
-            for (final MessageState job : candidates.values()) {
+            Delivery best = null;
+            for (final Delivery job : candidates.values()) {
                 best = job != null && (best == null || job.urgency > best.urgency) ? job : best;
             }
             if (best == null) {
@@ -487,12 +488,12 @@
     }
 
     /** The most urgent of a destination's messages that may go (with trials or without), or null. */
-    private MessageState best(final DestinationState destination, final boolean trials) {
-        MessageState best = null;
+    private Delivery best(final DestinationState destination, final boolean trials) {
+        Delivery best = null;
         for (final Route lane : destination.routes) {
             final boolean open = openAtUs(lane) <= nowUs && (trials || lane.phase == Phase.HEALTHY);
             destinations.countExaminedMessages(open ? destination.waiting.size() : 0);
-            final MessageState job = open ? pick(destination, lane, null) : null;
+            final Delivery job = open ? pick(destination, lane, null) : null;
             best = job != null && (best == null || job.urgency > best.urgency) ? job : best;
         }
         return best;
@@ -503,14 +504,15 @@
         if (lane.calls.size() >= cap(lane)) {
             return NEVER;
         }
-        final boolean exact = (settings.weightMeaning() == WeightMeaning.NOMINAL || lane.limitReported) && lane.limitPerSecond > 0;
+        final boolean exact =
+                (settings.weightMeaning() == WeightMeaning.NOMINAL || lane.exactLimit) && lane.rateLimit > 0;
         final double rate = exact ? Math.min(part(lane), lane.sendsPerSecond) : lane.sendsPerSecond;
-        final double rampShare = tippingShare(nowUs - lane.slowStartSinceUs);
+        final double rampShare = tippingShare(nowUs - lane.warmupFromUs);
         final long guardUs =
                 switch (lane.phase) {
                     case HEALTHY -> lane.lastSendUs + (long) (SECOND_US / rate);
-                    case PROBING -> lane.calls.isEmpty() ? lane.nextProbeUs : NEVER;
-                    case SLOW_START -> lane.lastSendUs + (long) (lane.slowStartIntervalUs / rampShare);
+                    case PROBE -> lane.calls.isEmpty() ? lane.nextProbeUs : NEVER;
+                    case WARMUP -> lane.lastSendUs + (long) (lane.warmupIntervalUs / rampShare);
                 };
         return Math.max(guardUs, Math.max(lane.retryAfterUntilUs, lane.backoffUntilUs));
     }
@@ -520,24 +522,24 @@
      * refused calls use up as well recovers; and more, the more of it was left or may be again by now.
      */
     private double part(final Route lane) {
-        final double refilled = REFILL / settings.courierCount() * (nowUs - lane.leftAtUs) / SECOND_US;
+        final double refilled = REFILL / settings.fleetSize() * (nowUs - lane.leftAtUs) / SECOND_US;
         final double more = PART_GROWTH * Math.pow(Math.min(1, lane.left + refilled), PART_POWER);
-        return lane.limitPerSecond * Math.min(1, (PART_LEAST + more) / settings.courierCount());
+        return lane.rateLimit * Math.min(1, (PART_LEAST + more) / settings.fleetSize());
     }
 
     /** Calls that a lane may have in flight now: its window, within its share of the slots. */
     private int cap(final Route lane) {
         final double share = lane.phase == Phase.HEALTHY && !lane.degraded ? HEALTHY_SHARE : SICK_SHARE;
-        return (int) Math.max(1, Math.floor(Math.min(lane.window, share * limits.maxCallsInFlight())));
+        return (int) Math.max(1, Math.floor(Math.min(lane.window, share * limits.maxCalls())));
     }
 
     /** The most urgent message for a lane (a node, if given); trials risk first what is lost anyway. */
-    private MessageState pick(final DestinationState destination, final Route lane, final EndpointState node) {
-        MessageState best = null;
+    private Delivery pick(final DestinationState destination, final Route lane, final EndpointState node) {
+        Delivery best = null;
         int bestRisk = 0;
         double bestUrgency = 0;
         final long lineUs = destination.lineUs();
-        for (final MessageState job : destination.waiting) {
+        for (final Delivery job : destination.waiting) {
             if (!inTurn(job)
                     || !endsInTime(lane, job)
                     || node == null && choose(lane, job) == null
@@ -545,7 +547,7 @@
                 continue;
             }
             final double urgency = urgency(lane, job, lineUs);
-            final int risk = lane.phase != Phase.PROBING || job.mayHaveRun
+            final int risk = lane.phase != Phase.PROBE || job.mayHaveRun
                     ? 0
                     : 1 + job.kind.effect().ordinal();
             if (best == null || risk < bestRisk || risk == bestRisk && urgency > bestUrgency) {
@@ -561,7 +563,7 @@
     }
 
     /** What a message loses by waiting for as long as its destination's line takes. */
-    private double urgency(final Route lane, final MessageState job, final long lineUs) {
+    private double urgency(final Route lane, final Delivery job, final long lineUs) {
         final long horizonUs = (long) clamp(lineUs, HORIZON_LEAST_US, HORIZON_MOST_US);
         final long doneUs = nowUs + (long) expectedUs(lane, job);
         final double kept = KEPT / (1 + (double) horizonUs / HORIZON_MOST_US);
@@ -569,7 +571,7 @@
     }
 
     /** The worth of a message delivered at a given time; a key's window ends it like the deadline does. */
-    private double worth(final MessageState job, final long atUs) {
+    private double worth(final Delivery job, final long atUs) {
         final MessageClass kind = job.kind;
         if (atUs >= job.keyEndUs()) {
             return 0;
@@ -585,7 +587,7 @@
     }
 
     /** The best endpoint of a lane for a message now, or null. */
-    private EndpointState choose(final Route lane, final MessageState job) {
+    private EndpointState choose(final Route lane, final Delivery job) {
         EndpointState best = null;
         double bestLoad = 0;
         final int kind = job.message.messageClass();
@@ -601,7 +603,7 @@
                     || node.callsInFlight == 0 && nowUs - node.lastUseUs >= limits.idleTimeoutUs();
             final boolean cross = !node.entry.zone().equals(settings.zone());
             final double near = node.callsInFlight + node.badRun[kind] + (handshake ? HANDSHAKE_LOAD : 0);
-            final double load = lane.phase == Phase.PROBING ? node.lastSendUs : near + (cross ? CROSS_LOAD : 0);
+            final double load = lane.phase == Phase.PROBE ? node.lastSendUs : near + (cross ? CROSS_LOAD : 0);
             if (best == null || load < bestLoad) {
                 best = node;
                 bestLoad = load;
@@ -621,25 +623,25 @@
     }
 
     /** False where an earlier attempt may have run and this endpoint would not know the repeat. */
-    private static boolean zoneAllows(final MessageState job, final EndpointState node) {
-        return !job.mayHaveRun || !job.kind.deduplicatedPerZone() || node.entry.zone().equals(job.runZone);
+    private static boolean zoneAllows(final Delivery job, final EndpointState node) {
+        return !job.mayHaveRun || !job.kind.dedupPerZone() || node.entry.zone().equals(job.runZone);
     }
 
     /** Rule on order: the first of its key goes, and only after the rest that an open attempt asks for. */
-    private boolean inTurn(final MessageState job) {
+    private boolean inTurn(final Delivery job) {
         final KeyQueue line = job.line;
         return line == null
                 || line.ids.get(0).equals(job.message.id()) && (job.mayHaveRun || line.restUntilUs <= nowUs);
     }
 
     /** False for a call that the end of this process would likely cut off: the next one may send it. */
-    private boolean endsInTime(final Route lane, final MessageState job) {
+    private boolean endsInTime(final Route lane, final Delivery job) {
         final double times = job.kind.effect() == Effect.UNSAFE ? OVERDUE_TIMES : STOP_TIMES;
         return stopUs == NEVER || nowUs + times * expectedUs(lane, job) < stopUs;
     }
 
     /** Sends a message and, where calls are shared, those that wait with it. */
-    private void send(final MessageState first, final Route lane) {
+    private void send(final Delivery first, final Route lane) {
         final EndpointState node = choose(lane, first);
         final Call call = new Call();
         call.node = node;
@@ -653,11 +655,11 @@
         final int streams = limits.streamsPerConnection();
         node.connections = Math.max(node.connections, (node.callsInFlight + streams - 1) / streams);
         node.lastSendUs = lane.lastSendUs = nowUs;
-        if (lane.phase == Phase.PROBING) {
+        if (lane.phase == Phase.PROBE) {
             lane.nextProbeUs = trialUs(lane);
         }
-        MessageState job = first;
-        final boolean alone = lane.phase == Phase.PROBING;
+        Delivery job = first;
+        final boolean alone = lane.phase == Phase.PROBE;
         while (job != null) {
             call.messages++;
             call.carry(job, (long) expectedUs(lane, job));
@@ -673,7 +675,7 @@
      * An idle connection may be dead without a sign, wherever it died: when a call over one fails where all
      * was well, none idle half as long is used for a while (a quarter, for unsafe ones). Costs handshakes.
      */
-    private void checkIdle(final Call call, final EndpointState node, final MessageState job) {
+    private void checkIdle(final Call call, final EndpointState node, final Delivery job) {
         final long idleUs = nowUs - node.lastUseUs;
         if (node.connections > 0 && idleUs >= trustUs / (job.kind.effect() == Effect.UNSAFE ? 2 : 1)) {
             node.connections = 0;
@@ -690,8 +692,8 @@
      */
     private void shareConnections(final EndpointState node, final Call call) {
         final double reachUs = nowUs < node.fullUntilUs ? REUSE_CALLS * call.expectedUs : REUSE_US;
-        final boolean many = settings.courierCount() > FEW_COURIERS;
-        if (many && node.route.servedPerSecond * reachUs / SECOND_US < node.route.endpoints.size()) {
+        final boolean many = settings.fleetSize() > FEW_COURIERS;
+        if (many && node.route.servedRate * reachUs / SECOND_US < node.route.endpoints.size()) {
             node.connections = 0;
             actions.closeIdleConnections(node.entry.id());
         }
@@ -701,11 +703,11 @@
 
     /** True for a lane without trouble, wait, guard or operator's mark: it may begin anew. */
     private boolean isSettled(final Route lane) {
-        final boolean warm = lane.phase == Phase.SLOW_START && nowUs - lane.slowStartSinceUs > guarantees.warmupUs();
+        final boolean warm = lane.phase == Phase.WARMUP && nowUs - lane.warmupFromUs > guarantees.warmupUs();
         return (warm || lane.phase == Phase.HEALTHY)
                 && lane.failingSinceUs == NEVER
                 && Math.max(lane.retryAfterUntilUs, lane.backoffUntilUs) <= nowUs
-                && lane.endpoints.stream().allMatch(node -> !isAvoided(node, nowUs) && coldUntilUs(node) == 0);
+                && lane.endpoints.stream().allMatch(one -> !isAvoided(one, nowUs) && coldUntilUs(one) == 0);
     }
 
     /** Moves a lane's window by Table I. */
@@ -713,7 +715,7 @@
         final int bad = lane.bad + overdue(lane);
         final int read = lane.served + lane.errors + bad;
         if (lane.phase == Phase.HEALTHY) {
-            lane.servedPerSecond += Math.max(SAMPLE_WEIGHT, 1.0 / ++lane.steps) * (lane.served - lane.servedPerSecond);
+            lane.servedRate += Math.max(SAMPLE_WEIGHT, 1.0 / ++lane.steps) * (lane.served - lane.servedRate);
         }
         if (read > 0) {
             double latency = 0;
@@ -732,12 +734,12 @@
                 lane.window = clamp(
                         lane.window * (1 + change),
                         WINDOW_FLOOR,
-                        Math.max(1, Math.floor(HEALTHY_SHARE * limits.maxCallsInFlight())));
+                        Math.max(1, Math.floor(HEALTHY_SHARE * limits.maxCalls())));
             }
             lane.degraded = latency > SLOW_INPUT || refusal > SLOW_INPUT;
         }
-        final double least = SPACING_LEAST * Math.min(1, SPACING_COURIERS / settings.courierCount());
-        final double refusing = least + SPACING * Math.max(lane.served, lane.servedPerSecond);
+        final double least = SPACING_LEAST * Math.min(1, SPACING_COURIERS / settings.fleetSize());
+        final double refusing = least + SPACING * Math.max(lane.served, lane.servedRate);
         lane.sendsPerSecond = lane.refused > 0 ? refusing : spacingGrowth(lane) * lane.sendsPerSecond;
         lane.peak = lane.calls.size();
         lane.ratioSum = lane.refused = lane.served = lane.bad = lane.errors = 0;
@@ -746,7 +748,7 @@
 
     /** How much sooner each step without refusals lets the next call go. */
     private double spacingGrowth(final Route lane) {
-        final boolean room = settings.courierCount() > FEW_COURIERS && lane.limitReported && lane.left > LEFT_HIGH;
+        final boolean room = settings.fleetSize() > FEW_COURIERS && lane.exactLimit && lane.left > LEFT_HIGH;
         return room ? SPACING_GONE : SPACING;
     }
 
@@ -756,7 +758,7 @@
         for (long done = 0; done < single; done++) {
             step(lane);
         }
-        lane.servedPerSecond *= lane.phase == Phase.HEALTHY ? Math.pow(1 - SAMPLE_WEIGHT, steps - single) : 1;
+        lane.servedRate *= lane.phase == Phase.HEALTHY ? Math.pow(1 - SAMPLE_WEIGHT, steps - single) : 1;
         lane.sendsPerSecond *= Math.pow(spacingGrowth(lane), steps - single);
     }
 
@@ -791,14 +793,15 @@
     // ---------------------------------------------------------------- health and return from outage
 
     /** Reads one outcome: service times, the step's inputs, waits, health of the endpoint and the lane. */
-    private void judge(final EndpointState node, final Call call, final MessageState job, final Outcome outcome) {
+    private void judge(final EndpointState node, final Call call, final Delivery job, final Outcome outcome) {
         final Route lane = node.route;
-        if (outcome.reportedLimit() != null && plausible(lane, outcome.reportedLimit().callsPerSecond())) {
+        if (outcome.reportedLimit() != null
+                && plausible(lane, outcome.reportedLimit().callsPerSecond())) {
             lane.allowance = outcome.reportedLimit();
-            lane.limitPerSecond = lane.allowance.callsPerSecond();
+            lane.rateLimit = lane.allowance.callsPerSecond();
             lane.leftAtUs = nowUs;
             lane.left = clamp(lane.allowance.remainingShare(), 0, 1);
-            lane.limitReported = true;
+            lane.exactLimit = true;
         }
         final int kind = job.message.messageClass();
         // The messages of a shared call mostly fare alike: what they tell of the lane's health is told once.
@@ -853,7 +856,7 @@
                 node.connections = Math.max(0, node.connections - 1);
                 if (outcome.result() != Result.NO_CONNECTION || node.lastServedUs <= call.sentUs) {
                     lane.failureShare += FAIL_WEIGHT * (1 - lane.failureShare);
-                    suspect(lane, settings.courierCount() > FEW_COURIERS ? FLEET_FAILURE_WEIGHT : 1);
+                    suspect(lane, settings.fleetSize() > FEW_COURIERS ? FLEET_FAILURE_WEIGHT : 1);
                 }
             }
             case NOT_SENT -> lane.failingSinceUs = first ? NEVER : lane.failingSinceUs;
@@ -861,7 +864,7 @@
     }
 
     /** A message was delivered: trouble at its destination is over, and an outage turns into a ramp. */
-    private void succeed(final EndpointState node, final MessageState job, final long durationUs) {
+    private void succeed(final EndpointState node, final Delivery job, final long durationUs) {
         final Route lane = node.route;
         final int kind = job.message.messageClass();
         learn(lane, job, durationUs);
@@ -869,13 +872,13 @@
         node.lastServedUs = nowUs;
         node.badRun[kind] = 0;
         node.avoidUntilUs[kind] = 0;
-        lane.consecutiveFailureWeight = 0;
+        lane.failureRun = 0;
         lane.timeoutFactor = Math.max(1, lane.timeoutFactor - STRETCH * SAMPLE_WEIGHT);
         lane.failureShare -= FAIL_WEIGHT * lane.failureShare;
-        if (lane.phase == Phase.PROBING) {
-            lane.phase = Phase.SLOW_START;
-            lane.slowStartSinceUs = nowUs;
-            lane.slowStartIntervalUs = patienceUs(lane, nowUs);
+        if (lane.phase == Phase.PROBE) {
+            lane.phase = Phase.WARMUP;
+            lane.warmupFromUs = nowUs;
+            lane.warmupIntervalUs = patienceUs(lane, nowUs);
             lane.failureShare = 0;
         }
         lane.failingSinceUs = NEVER;
@@ -883,15 +886,15 @@
 
     /** False for a limit far under the list's, or none where there was one: it would end or flood a lane. */
     private static boolean plausible(final Route lane, final double limit) {
-        return limit > 0 ? limit >= LEAST_LIMIT * lane.listedLimit : !lane.limitReported || lane.limitPerSecond <= 0;
+        return limit > 0 ? limit >= LEAST_LIMIT * lane.listedLimit : !lane.exactLimit || lane.rateLimit <= 0;
     }
 
     /** Adds to a lane's run of bad outcomes; a long run, or a high share of failures, is an outage. */
     private void suspect(final Route lane, final double weight) {
-        lane.consecutiveFailureWeight += weight;
-        final boolean out = lane.consecutiveFailureWeight + overdue(lane) >= OUT_WEIGHT || lane.failureShare > OUT_SHARE;
-        if (out && lane.phase != Phase.PROBING) {
-            lane.phase = Phase.PROBING;
+        lane.failureRun += weight;
+        final boolean out = lane.failureRun + overdue(lane) >= OUT_WEIGHT || lane.failureShare > OUT_SHARE;
+        if (out && lane.phase != Phase.PROBE) {
+            lane.phase = Phase.PROBE;
             troubled.add(lane);
             lane.endpoints.forEach(node -> node.fullUntilUs = 0);
             lane.window = WINDOW_FLOOR;
@@ -918,7 +921,7 @@
      * overdue is called off. Covers hung, stalled and very slow ones; hurts where one would have answered.
      */
     private void reclaimSlot() {
-        if (callsOut < limits.maxCallsInFlight() || !limits.canCancel()) {
+        if (callsOut < limits.maxCalls() || !limits.canCancel()) {
             return;
         }
         final Call worst = busy.values().stream()
@@ -946,8 +949,8 @@
 
     /** How far apart this courier's messages for a lane are, or calls at its even part of the limit. */
     private double apartUs(final Route lane) {
-        final double limit = lane.limitPerSecond > 0 ? lane.limitPerSecond : UNTOLD_LIMIT;
-        return SECOND_US / Math.max(lane.servedPerSecond, limit / settings.courierCount());
+        final double limit = lane.rateLimit > 0 ? lane.rateLimit : UNTOLD_LIMIT;
+        return SECOND_US / Math.max(lane.servedRate, limit / settings.fleetSize());
     }
 
     /**
@@ -968,17 +971,17 @@
         return guarantees.overloadMultiple() * (coldFrom + (1 - coldFrom) * clamp(warm, 0, 1));
     }
 
-    private void learn(final Route lane, final MessageState job, final long durationUs) {
+    private void learn(final Route lane, final Delivery job, final long durationUs) {
         final int kind = job.message.messageClass();
         final double ratio = durationUs / Math.max(1, classMeanUs[kind]);
         lane.ratioSum += ratio;
         final double weight = Math.max(SAMPLE_WEIGHT, 1.0 / ++classSamples[kind]);
-        classMeanUs[kind] += weight * (durationUs / Math.max(PACE_LEAST, lane.latencyFactor) - classMeanUs[kind]);
-        lane.latencyFactor += Math.max(SAMPLE_WEIGHT, 1.0 / (1 + ++lane.latencyFactorSamples)) * (ratio - lane.latencyFactor);
+        classMeanUs[kind] += weight * (durationUs / Math.max(PACE_LEAST, lane.slowdown) - classMeanUs[kind]);
+        lane.slowdown += Math.max(SAMPLE_WEIGHT, 1.0 / (1 + ++lane.latencySamples)) * (ratio - lane.slowdown);
     }
 
-    private double expectedUs(final Route lane, final MessageState job) {
-        return classMeanUs[job.message.messageClass()] * Math.max(PACE_LEAST, lane.latencyFactor);
+    private double expectedUs(final Route lane, final Delivery job) {
+        return classMeanUs[job.message.messageClass()] * Math.max(PACE_LEAST, lane.slowdown);
     }
 
     private long jitter(final long us) {
@@ -992,7 +995,7 @@
     // ---------------------------------------------------------------- deadlines and further attempts
 
     /** How long an attempt may take. */
-    private long timeoutUs(final Route lane, final MessageState job) {
+    private long timeoutUs(final Route lane, final Delivery job) {
         final double expectedUs = expectedUs(lane, job);
         final long leftUs = job.message.latestEndUs() - nowUs;
         final double leastUs = Math.min(TIMEOUT_LEAST_US, TIMEOUT_SHARE * job.kind.deadlineUs());
@@ -1014,7 +1017,7 @@
         for (final DestinationState destination : List.copyOf(busy.values())) {
             for (final Route lane : destination.routes) {
                 suspect(lane, 0);
-                if (lane.phase == Phase.SLOW_START && nowUs - lane.slowStartSinceUs > guarantees.warmupUs()) {
+                if (lane.phase == Phase.WARMUP && nowUs - lane.warmupFromUs > guarantees.warmupUs()) {
                     lane.phase = Phase.HEALTHY;
                 }
             }
@@ -1025,7 +1028,7 @@
     }
 
     private void endDue(final DestinationState destination) {
-        for (final MessageState job : List.copyOf(destination.waiting)) {
+        for (final Delivery job : List.copyOf(destination.waiting)) {
             if (nowUs >= endUs(job) || !maySend(job)) {
                 // Given up: come again when the line that stands there now has gone, and no sooner.
                 finish(job, Math.max(PAUSE_US, destination.lineUs()));
@@ -1046,23 +1049,23 @@
     }
 
     /** When a message that waits is ended: its time or its key's window is up. */
-    private long endUs(final MessageState job) {
+    private long endUs(final Delivery job) {
         return Math.min(job.message.latestEndUs() - END_MARGIN_US, job.keyEndUs());
     }
 
     /** Rule on effects, and the most attempts. */
-    private boolean maySend(final MessageState job) {
+    private boolean maySend(final Delivery job) {
         final Effect effect = job.kind.effect();
         return DeliveryRules.mayRepeat(effect, job.mayHaveRun, nowUs < job.keyEndUs())
                 && job.attempts < limits.maxAttempts();
     }
 
-    private static boolean mayRefuse(final MessageState job) {
+    private static boolean mayRefuse(final Delivery job) {
         return DeliveryRules.mayRefuse(job.kind, job.mayHaveRun);
     }
 
     /** Gives the final answer: a refusal where that is harmless, or a failure. */
-    private void finish(final MessageState job, final long retryAfterUs) {
+    private void finish(final Delivery job, final long retryAfterUs) {
         if (mayRefuse(job)) {
             actions.refuse(job.message.id(), Math.min(retryAfterUs, limits.maxRetryAfterUs()));
         } else {
@@ -1071,7 +1074,7 @@
         end(job);
     }
 
-    private void end(final MessageState job) {
+    private void end(final Delivery job) {
         open -= job.over ? 0 : 1;
         job.over = true;
         job.destination.dequeue(job);
@@ -1090,7 +1093,7 @@
     private void makeRoom() {
         final int reserve = (int) Math.max(1, STORE_RESERVE * limits.maxOpenMessages());
         while (open > limits.maxOpenMessages() - reserve) {
-            final MessageState least = busy.values().stream()
+            final Delivery least = busy.values().stream()
                     .flatMap(destination -> destination.waiting.stream())
                     .filter(Control::mayRefuse)
                     .min(Comparator.comparingDouble(this::worthInLine))
@@ -1103,14 +1106,14 @@
     }
 
     /** The worth of a message that is delivered when the line of its destination has gone. */
-    private double worthInLine(final MessageState job) {
+    private double worthInLine(final Delivery job) {
         return worth(job, Math.min(nowUs + job.destination.lineUs(), job.keyEndUs() - 1));
     }
 
     /** Meters a tenant at this courier's even part of its quota; true for a message beyond it. */
     private boolean overQuota(final int tenant) {
         final double whole = tenant < 0 ? 0 : settings.tenants().get(tenant).quotaPerSecond();
-        final double quota = whole / settings.courierCount();
+        final double quota = whole / settings.fleetSize();
         if (quota <= 0 || quotaUs[tenant] > nowUs + QUOTA_BURST * SECOND_US / quota) {
             return quota > 0;
         }
@@ -1156,9 +1159,9 @@
     }
 
     @Override
-    public void onOperatorOverride(final long now, final long endpoint, final boolean out, final long backUs) {
+    public void onOverride(final long now, final long endpoint, final boolean out, final long backUs) {
         nowUs = now;
-        final EndpointState node = destinations.endpointState(endpoint);
+        final EndpointState node = destinations.endpoint(endpoint);
         if (node == null) {
             return;
         }
@@ -1173,7 +1176,7 @@
     }
 
     private Route newLane(final DestinationKind kind) {
-        return new Route(kind, settings.courierCount() <= FEW_COURIERS ? WINDOW_START : WINDOW_RARE);
+        return new Route(kind, settings.fleetSize() <= FEW_COURIERS ? WINDOW_START : WINDOW_RARE);
     }
 
     /** Where the list must be asked for: once at the start, and again after a loss. */
@@ -1189,7 +1192,7 @@
 
     /** A destination: the messages waiting for it, and its routes (one, unless its routes are separate). */
     static final class DestinationState {
-        private final List<MessageState> waiting = new ArrayList<>();
+        private final List<Delivery> waiting = new ArrayList<>();
         final List<Route> routes = new ArrayList<>();
         /** Its messages, waiting or in an attempt. */
         int openMessages;
@@ -1198,12 +1201,12 @@
         /** The number of the last step that its routes took. */
         long lastStep;
 
-        private void enqueue(final MessageState job) {
+        private void enqueue(final Delivery job) {
             waiting.add(job);
             firstEndUs = UNKNOWN;
         }
 
-        private void dequeue(final MessageState job) {
+        private void dequeue(final Delivery job) {
             if (waiting.remove(job)) {
                 firstEndUs = UNKNOWN;
             }
@@ -1212,7 +1215,8 @@
         /** How long its line takes at the rate that it was served, us. */
         private long lineUs() {
             final double rate = Math.max(
-                    LEAST_RATE, routes.stream().mapToDouble(lane -> lane.servedPerSecond).sum());
+                    LEAST_RATE,
+                    routes.stream().mapToDouble(lane -> lane.servedRate).sum());
             return (long) (waiting.size() / rate * SECOND_US);
         }
     }
@@ -1275,7 +1279,7 @@
         private boolean calledOff;
         private final Set<Result> seen = EnumSet.noneOf(Result.class);
 
-        private void carry(final MessageState job, final long jobUs) {
+        private void carry(final Delivery job, final long jobUs) {
             expectedUs = Math.max(expectedUs, jobUs);
             overdueLeastUs = (long) Math.min(overdueLeastUs, OVERDUE_SHARE * job.kind.deadlineUs());
             job.call = this;
@@ -1287,7 +1291,7 @@
     }
 
     /** A message that has not ended, or still has an attempt in flight. */
-    private static final class MessageState {
+    private static final class Delivery {
         private final Message message;
         private final MessageClass kind;
         private final long aimUs;
@@ -1303,7 +1307,7 @@
         private long firstRunUs = NEVER;
         private String runZone = "";
 
-        private MessageState(final Message message, final MessageClass kind) {
+        private Delivery(final Message message, final MessageClass kind) {
             this.message = message;
             this.kind = kind;
             this.aimUs = message.validUntilUs() - kind.deadlineUs() + kind.targetUs();
@@ -1318,7 +1322,7 @@
         }
     }
 
-    /** The messages of one key, in the order accepted; some have ended, and only their notice is not answered yet. */
+    /** The messages of one key, in the order accepted; some only await the answer to their notice. */
     private static final class KeyQueue {
         private final List<String> ids = new ArrayList<>();
         private final Set<String> owed = new HashSet<>();
--- a/src/main/java/railspar/Courier.java
+++ b/src/main/java/railspar/Courier.java
@@ -67,11 +67,11 @@
         UNAVAILABLE
     }
 
-    /** A class of message. {@code deduplicatedPerZone}: only endpoints of one zone drop each other's repeats. */
+    /** A class of message. {@code dedupPerZone}: only endpoints of one zone drop each other's repeats. */
     record MessageClass(
             String name,
             Effect effect,
-            boolean deduplicatedPerZone,
+            boolean dedupPerZone,
             boolean ordered,
             double value,
             double lateValue,
@@ -86,11 +86,16 @@
     record DestinationKind(String name, boolean separateRoutes, int messagesPerCall) {}
 
     /** The parameters of the rules that every courier keeps. */
-    record RuleParameters(long listRequestDeadlineUs, double coldCapacityShare, long warmupUs, double overloadMultiple, long orderingDelayUs) {}
+    record RuleParameters(
+            long listRequestDeadlineUs,
+            double coldCapacityShare,
+            long warmupUs,
+            double overloadMultiple,
+            long orderingDelayUs) {}
 
     /** What this courier may use. */
     record Limits(
-            int maxCallsInFlight,
+            int maxCalls,
             int maxOpenMessages,
             int maxAttempts,
             boolean canCancel,
@@ -100,7 +105,7 @@
 
     /** Everything a courier is handed at its start. */
     record Settings(
-            int courierCount,
+            int fleetSize,
             String zone,
             boolean listOnRequest,
             WeightMeaning weightMeaning,
@@ -112,11 +117,15 @@
             Limits limits) {
         /** Refuses settings that contradict themselves, so that a host learns of it at its start. */
         public Settings {
-            require(courierCount >= 1, "a fleet has at least one courier, not " + courierCount);
-            require(limits.maxCallsInFlight() >= 1, "a courier needs at least one slot, not " + limits.maxCallsInFlight());
-            require(limits.maxOpenMessages() >= 1, "a store holds at least one message, not " + limits.maxOpenMessages());
+            require(fleetSize >= 1, "a fleet has at least one courier, not " + fleetSize);
+            require(limits.maxCalls() >= 1, "a courier needs at least one slot, not " + limits.maxCalls());
+            require(
+                    limits.maxOpenMessages() >= 1,
+                    "a store holds at least one message, not " + limits.maxOpenMessages());
             require(limits.maxAttempts() >= 1, "a message needs at least one attempt, not " + limits.maxAttempts());
-            require(ruleParameters.overloadMultiple() > 0, "a tipping multiple is above 0, not " + ruleParameters.overloadMultiple());
+            require(
+                    ruleParameters.overloadMultiple() > 0,
+                    "a tipping multiple is above 0, not " + ruleParameters.overloadMultiple());
             for (final MessageClass kind : classes) {
                 require(kind.targetUs() <= kind.deadlineUs(), kind.name() + ": its aim is later than its deadline");
             }
@@ -138,7 +147,13 @@
      * same.
      */
     record Message(
-            String id, int messageClass, int tenant, String key, long validUntilUs, long destination, long ageUncertaintyUs) {
+            String id,
+            int messageClass,
+            int tenant,
+            String key,
+            long validUntilUs,
+            long destination,
+            long ageUncertaintyUs) {
         /** Of an age that is known. */
         public Message(
                 final String id,
@@ -161,9 +176,18 @@
      * its effect, the first one at {@code firstEffectUs} (on the clock of the events, perhaps before its start), in
      * {@code effectZone}. {@code inheritedCall}: the attempt in flight, or null.
      */
-    record AttemptHistory(int attempts, boolean mayHaveTakenEffect, long firstEffectUs, String effectZone, InheritedCall inheritedCall) {
+    record AttemptHistory(
+            int attempts,
+            boolean mayHaveTakenEffect,
+            long firstEffectUs,
+            String effectZone,
+            InheritedCall inheritedCall) {
         /** With no attempt in flight. */
-        public AttemptHistory(final int attempts, final boolean mayHaveTakenEffect, final long firstEffectUs, final String effectZone) {
+        public AttemptHistory(
+                final int attempts,
+                final boolean mayHaveTakenEffect,
+                final long firstEffectUs,
+                final String effectZone) {
             this(attempts, mayHaveTakenEffect, firstEffectUs, effectZone, null);
         }
     }
@@ -267,7 +291,7 @@
      * Operators have disabled an endpoint, or enabled it again at that time, after which it is cold. This holds
      * whatever the list says, and is repeated when the list names the endpoint anew.
      */
-    void onOperatorOverride(long nowUs, long endpoint, boolean out, long backUs);
+    void onOverride(long nowUs, long endpoint, boolean out, long backUs);
 
     /** This process ends at {@code stopUs}: what it still holds then goes on in the next one. */
     void onStopping(long nowUs, long stopUs);
--- a/src/main/java/railspar/DeliveryRules.java
+++ b/src/main/java/railspar/DeliveryRules.java
@@ -1,11 +1,11 @@
 package railspar;
 
-import railspar.Courier.Effect;
-import railspar.Courier.MessageClass;
-import railspar.Courier.Result;
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.Optional;
+import railspar.Courier.Effect;
+import railspar.Courier.MessageClass;
+import railspar.Courier.Result;
 
 /**
  * Decides what may be sent, repeated, refused, withdrawn or decided at all, given what is known of the operations
@@ -54,7 +54,12 @@
      * earlier attempts may have done. {@code zone}: the endpoint's.
      */
     public record Attempt(
-            MessageClass messageClass, boolean recorded, boolean current, boolean available, Courier.AttemptHistory history, String zone) {}
+            MessageClass messageClass,
+            boolean recorded,
+            boolean current,
+            boolean available,
+            Courier.AttemptHistory history,
+            String zone) {}
 
     /** True where sending a message once more does no harm. {@code remembered}: endpoints still know its key. */
     static boolean mayRepeat(final Effect effect, final boolean mayHaveRun, final boolean remembered) {
@@ -63,7 +68,7 @@
 
     /** True where a client may be told that handing its message in again, to any courier, is harmless. */
     public static boolean mayRefuse(final MessageClass kind, final boolean mayHaveRun) {
-        return !mayHaveRun || kind.effect() == Effect.SAFE || kind.effect() == Effect.KEYED && !kind.deduplicatedPerZone();
+        return !mayHaveRun || kind.effect() == Effect.SAFE || kind.effect() == Effect.KEYED && !kind.dedupPerZone();
     }
 
     /** True where a message may be dropped because its client was not told that it is taken on. */
@@ -104,7 +109,7 @@
             return Optional.of(
                     kind.effect() == Effect.UNSAFE ? Violation.REPEAT_OF_UNSAFE : Violation.REPEAT_AFTER_KEY_WINDOW);
         }
-        if (past.mayHaveTakenEffect() && kind.deduplicatedPerZone() && !attempt.zone().equals(past.effectZone())) {
+        if (past.mayHaveTakenEffect() && kind.dedupPerZone() && !attempt.zone().equals(past.effectZone())) {
             return Optional.of(Violation.REPEAT_IN_OTHER_ZONE);
         }
         return Optional.empty();
--- a/src/main/java/railspar/DestinationTable.java
+++ b/src/main/java/railspar/DestinationTable.java
@@ -1,8 +1,5 @@
 package railspar;
 
-import railspar.Control.DestinationState;
-import railspar.Control.Route;
-import railspar.Control.EndpointState;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -11,6 +8,9 @@
 import java.util.function.Function;
 import java.util.function.ObjLongConsumer;
 import java.util.function.Predicate;
+import railspar.Control.DestinationState;
+import railspar.Control.EndpointState;
+import railspar.Control.Route;
 
 /**
  * The destinations that a courier keeps state for, and their endpoints. State begins with a destination's first
@@ -91,7 +91,7 @@
      * The state of an endpoint, which begins here if it has none; null for one that the directory does not know. It
      * may know one that the list no longer names, as long as a call to it is in flight.
      */
-    EndpointState endpointState(final long endpoint) {
+    EndpointState endpoint(final long endpoint) {
         final EndpointState known = nodes.get(endpoint);
         final Courier.Endpoint entry = known == null ? directory.endpoint(endpoint) : known.entry;
         if (entry == null) {
@@ -104,9 +104,9 @@
         return nodes.get(endpoint);
     }
 
-    /** As {@link #endpointState}, but null where there is no state; it is brought up to date. */
-    EndpointState existingEndpointState(final long endpoint) {
-        return nodes.containsKey(endpoint) ? endpointState(endpoint) : null;
+    /** As {@link #endpoint}, but null where there is no state; it is brought up to date. */
+    EndpointState knownEndpoint(final long endpoint) {
+        return nodes.containsKey(endpoint) ? endpoint(endpoint) : null;
     }
 
     /** A second is over: visits the lanes that had calls or messages in it; what has neither rests from here on. */
@@ -188,7 +188,8 @@
     private void apply(final DestinationState destination, final Courier.Endpoint entry) {
         EndpointState node = nodes.get(entry.id());
         if (node == null) {
-            node = new EndpointState(entry, lane(destination, entry), settings.classes().size());
+            node = new EndpointState(
+                    entry, lane(destination, entry), settings.classes().size());
             node.route.endpoints.add(node);
             nodes.put(entry.id(), node);
         }
@@ -196,8 +197,8 @@
         if (settings.weightMeaning() != Courier.WeightMeaning.NONE) {
             node.route.listedLimit = entry.weight();
             // What answers report is newer and nearer than the list's figure.
-            final boolean keep = node.route.limitReported && node.route.limitPerSecond > 0;
-            node.route.limitPerSecond = keep ? node.route.limitPerSecond : entry.weight();
+            final boolean keep = node.route.exactLimit && node.route.rateLimit > 0;
+            node.route.rateLimit = keep ? node.route.rateLimit : entry.weight();
         }
     }
 
--- a/src/main/java/railspar/RouteState.java
+++ b/src/main/java/railspar/RouteState.java
@@ -13,62 +13,62 @@
     static final long NEVER = Long.MAX_VALUE;
 
     /**
-     * Whether calls are made freely, as single probes, or in a slow start at the rate that a cold destination bears.
+     * Whether calls are made freely, as single probes, or in a warmup at the rate that a cold destination bears.
      */
     enum Phase {
         HEALTHY,
-        PROBING,
-        SLOW_START
+        PROBE,
+        WARMUP
     }
 
     /** Most calls in flight. */
     double window;
     /** Numbers of steps and of service times that the averages contain. */
-    int steps, latencyFactorSamples;
+    int steps, latencySamples;
     /**
      * Moving averages: messages served a second, mean latency of a step and service time relative to the class's
      * usual one; and the factor on timeouts.
      */
-    double servedPerSecond, meanLatencyRatio = 1, latencyFactor = 1, timeoutFactor = 1;
+    double servedRate, meanLatencyRatio = 1, slowdown = 1, timeoutFactor = 1;
     /** The known rate limit (0: none), and the sends allowed now, both a second. */
-    double limitPerSecond, sendsPerSecond = Double.POSITIVE_INFINITY;
+    double rateLimit, sendsPerSecond = Double.POSITIVE_INFINITY;
     /** The last step saw high latency or many refusals. */
     boolean degraded;
     /** The known limit came with an answer, and is exact where the list's may be approximate. */
-    boolean limitReported;
+    boolean exactLimit;
 
     Phase phase = Phase.HEALTHY;
     /** Weight of the consecutive bad outcomes, and the share of failures. */
-    double consecutiveFailureWeight, failureShare;
-    /** Time between two calls in a slow start, before it is divided by the share that a cold destination bears. */
-    double slowStartIntervalUs;
+    double failureRun, failureShare;
+    /** Time between two calls of a warmup, before it is divided by the share that a cold destination bears. */
+    double warmupIntervalUs;
     /** Since when nothing was served there; never, while it is healthy. */
     long failingSinceUs = NEVER;
-    /** Until when a requested wait and a backoff last, when the next probe is due, and when the slow start began. */
-    long retryAfterUntilUs, backoffUntilUs, nextProbeUs, slowStartSinceUs, lastSendUs;
+    /** Until when a requested wait and a backoff last, when the next probe is due, and when the warmup began. */
+    long retryAfterUntilUs, backoffUntilUs, nextProbeUs, warmupFromUs, lastSendUs;
 
     /** Writes figures and times by name, for the process that takes over. */
     void writeTo(final Map<String, Double> figures, final Map<String, Long> timesUs) {
         figures.put("window", window);
-        figures.put("rate", servedPerSecond);
+        figures.put("rate", servedRate);
         figures.put("steps", (double) steps);
         figures.put("slowRatio", meanLatencyRatio);
-        figures.put("pace", latencyFactor);
-        figures.put("paceSamples", (double) latencyFactorSamples);
+        figures.put("pace", slowdown);
+        figures.put("paceSamples", (double) latencySamples);
         figures.put("stretch", timeoutFactor);
-        figures.put("told", limitPerSecond);
+        figures.put("told", rateLimit);
         figures.put("spacing", sendsPerSecond);
-        figures.put("reported", limitReported ? 1.0 : 0);
+        figures.put("reported", exactLimit ? 1.0 : 0);
         figures.put("phase", (double) phase.ordinal());
         figures.put("slow", degraded ? 1.0 : 0);
-        figures.put("badRun", consecutiveFailureWeight);
+        figures.put("badRun", failureRun);
         figures.put("failShare", failureShare);
-        figures.put("rampSpan", slowStartIntervalUs);
+        figures.put("rampSpan", warmupIntervalUs);
         timesUs.put("wait", retryAfterUntilUs);
         timesUs.put("pause", backoffUntilUs);
         timesUs.put("sent", lastSendUs);
         timesUs.put("trial", nextProbeUs);
-        timesUs.put("ramp", slowStartSinceUs);
+        timesUs.put("ramp", warmupFromUs);
         if (failingSinceUs != NEVER) {
             timesUs.put("trouble", failingSinceUs);
         }
@@ -77,24 +77,24 @@
     /** Takes what {@link #writeTo} wrote; a figure that is missing stays, a time that is missing never was. */
     void readFrom(final Map<String, Double> figures, final Map<String, Long> timesUs) {
         window = figures.getOrDefault("window", window);
-        servedPerSecond = figures.getOrDefault("rate", servedPerSecond);
+        servedRate = figures.getOrDefault("rate", servedRate);
         meanLatencyRatio = figures.getOrDefault("slowRatio", meanLatencyRatio);
-        latencyFactor = figures.getOrDefault("pace", latencyFactor);
+        slowdown = figures.getOrDefault("pace", slowdown);
         timeoutFactor = figures.getOrDefault("stretch", timeoutFactor);
-        limitPerSecond = figures.getOrDefault("told", limitPerSecond);
+        rateLimit = figures.getOrDefault("told", rateLimit);
         sendsPerSecond = figures.getOrDefault("spacing", sendsPerSecond);
-        consecutiveFailureWeight = figures.getOrDefault("badRun", consecutiveFailureWeight);
+        failureRun = figures.getOrDefault("badRun", failureRun);
         failureShare = figures.getOrDefault("failShare", failureShare);
         steps = figures.getOrDefault("steps", 0.0).intValue();
-        latencyFactorSamples = figures.getOrDefault("paceSamples", 0.0).intValue();
-        limitReported = figures.getOrDefault("reported", 0.0) > 0;
+        latencySamples = figures.getOrDefault("paceSamples", 0.0).intValue();
+        exactLimit = figures.getOrDefault("reported", 0.0) > 0;
         phase = Phase.values()[figures.getOrDefault("phase", 0.0).intValue()];
         degraded = figures.getOrDefault("slow", 0.0) > 0;
-        slowStartIntervalUs = figures.getOrDefault("rampSpan", 0.0);
+        warmupIntervalUs = figures.getOrDefault("rampSpan", 0.0);
         retryAfterUntilUs = timesUs.getOrDefault("wait", 0L);
         backoffUntilUs = timesUs.getOrDefault("pause", 0L);
         nextProbeUs = timesUs.getOrDefault("trial", 0L);
-        slowStartSinceUs = timesUs.getOrDefault("ramp", 0L);
+        warmupFromUs = timesUs.getOrDefault("ramp", 0L);
         lastSendUs = timesUs.getOrDefault("sent", 0L);
         failingSinceUs = timesUs.getOrDefault("trouble", NEVER);
     }
@@ -105,13 +105,14 @@
                 Locale.ROOT,
                 " window %.1f rate %.1f spacing %.1f told %.1f pace %.2f",
                 window,
-                servedPerSecond,
+                servedRate,
                 sendsPerSecond,
-                limitPerSecond,
-                latencyFactor);
-        final long trialMs = phase == Phase.PROBING ? aheadMs(nextProbeUs, nowUs) : 0;
-        return phase + (degraded ? " slow" : "") + " out " + calls + figures + " wait " + aheadMs(retryAfterUntilUs, nowUs)
-                + " pause " + aheadMs(backoffUntilUs, nowUs) + " trial " + trialMs + " ms";
+                rateLimit,
+                slowdown);
+        final long trialMs = phase == Phase.PROBE ? aheadMs(nextProbeUs, nowUs) : 0;
+        return phase + (degraded ? " slow" : "") + " out " + calls + figures + " wait "
+                + aheadMs(retryAfterUntilUs, nowUs) + " pause " + aheadMs(backoffUntilUs, nowUs) + " trial " + trialMs
+                + " ms";
     }
 
     private static long aheadMs(final long atUs, final long nowUs) {
--- a/src/main/java/railspar/bench/Adapter.java
+++ b/src/main/java/railspar/bench/Adapter.java
@@ -1,7 +1,5 @@
 package railspar.bench;
 
-import railspar.Control;
-import railspar.Courier;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.Writer;
@@ -10,6 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import railspar.Control;
+import railspar.Courier;
 
 /**
  * Translates between the bench's wire and {@link Courier}. It decides nothing. One {@link Control} per instance; they
@@ -216,7 +216,8 @@
                 || Math.max(host.shareField, host.limitField) >= values.length) {
             return null;
         }
-        return new Courier.ReportedLimit(fields.number(values[host.shareField]), fields.number(values[host.limitField]));
+        return new Courier.ReportedLimit(
+                fields.number(values[host.shareField]), fields.number(values[host.limitField]));
     }
 
     private Runnable outcome(final Host host, final Fields fields) {
--- a/src/main/java/railspar/bench/SettingsReader.java
+++ b/src/main/java/railspar/bench/SettingsReader.java
@@ -1,8 +1,8 @@
 package railspar.bench;
 
-import railspar.Courier;
 import java.util.ArrayList;
 import java.util.List;
+import railspar.Courier;
 
 /** Reads the settings of an {@code enlist} line or of a courier's configuration. Absent ones restrict nothing. */
 public final class SettingsReader {
@@ -24,7 +24,9 @@
                 fields.text("my_zone", ""),
                 fields.text("discovery", "pushed").equals("on_request"),
                 weights,
-                fields.text("extra.fades", "linear").equals("halving") ? Courier.ValueDecay.HALVING : Courier.ValueDecay.LINEAR,
+                fields.text("extra.fades", "linear").equals("halving")
+                        ? Courier.ValueDecay.HALVING
+                        : Courier.ValueDecay.LINEAR,
                 classes(fields),
                 tenants(fields),
                 kinds(fields),
--- a/src/main/java/railspar/list/EndpointTable.java
+++ b/src/main/java/railspar/list/EndpointTable.java
@@ -1,6 +1,5 @@
 package railspar.list;
 
-import railspar.Courier;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
@@ -8,6 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.function.LongConsumer;
+import railspar.Courier;
 
 /**
  * The endpoints in force, packed into arrays: about 70 bytes each, no object per endpoint. Names, ids and
--- a/src/main/java/railspar/list/EntryReader.java
+++ b/src/main/java/railspar/list/EntryReader.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
-import railspar.Courier;
 import java.io.IOException;
+import railspar.Courier;
 
 /** Reads one entry of the list from its fields, which may come in any order. */
 final class EntryReader {
--- a/src/main/java/railspar/list/ListParser.java
+++ b/src/main/java/railspar/list/ListParser.java
@@ -7,8 +7,8 @@
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.core.StreamReadConstraints;
 import com.fasterxml.jackson.core.async.ByteArrayFeeder;
-import railspar.list.ListFormatException.Fault;
 import java.io.IOException;
+import railspar.list.ListFormatException.Fault;
 
 /**
  * Reads lists from bytes as they come, one JSON object after another, each over one line or several. It holds no
--- a/src/main/java/railspar/list/ListStore.java
+++ b/src/main/java/railspar/list/ListStore.java
@@ -1,6 +1,5 @@
 package railspar.list;
 
-import railspar.Courier;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
@@ -11,6 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
+import railspar.Courier;
 
 /**
  * A copy of the list in the folder that outlasts the process: a base, and behind it each change. A restart reads it
--- a/src/main/java/railspar/list/SnapshotWriter.java
+++ b/src/main/java/railspar/list/SnapshotWriter.java
@@ -59,7 +59,8 @@
         for (; row < until; row++) {
             if (table.isListedRow(row)) {
                 table.read(row, entry);
-                block.entry(entry, table.zones().textOf(entry.zone), table.kinds().textOf(entry.kind));
+                block.entry(
+                        entry, table.zones().textOf(entry.zone), table.kinds().textOf(entry.kind));
                 if (block.isFull()) {
                     block = flush(block);
                 }
--- a/src/main/java/railspar/list/StagedEntry.java
+++ b/src/main/java/railspar/list/StagedEntry.java
@@ -1,7 +1,7 @@
 package railspar.list;
 
-import railspar.Courier;
 import java.nio.charset.StandardCharsets;
+import railspar.Courier;
 
 /**
  * One entry as a list told it, before it is known what the table makes of it. Reused from entry to entry, so that a
--- a/src/main/java/railspar/list/StagedList.java
+++ b/src/main/java/railspar/list/StagedList.java
@@ -1,12 +1,12 @@
 package railspar.list;
 
-import railspar.Courier;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import railspar.Courier;
 
 /**
  * What one object of the list holds, packed, until the object is whole and can be applied. It refuses to grow beyond
--- a/src/main/java/railspar/list/StoredRecord.java
+++ b/src/main/java/railspar/list/StoredRecord.java
@@ -1,6 +1,5 @@
 package railspar.list;
 
-import railspar.Courier;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
@@ -9,6 +8,7 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
 import java.util.zip.CRC32C;
+import railspar.Courier;
 
 /** How records lie in the file of the stored list: each with its length and CRC32C ahead, then its type. */
 final class StoredRecord {
--- a/src/main/java/railspar/list/TableUpdate.java
+++ b/src/main/java/railspar/list/TableUpdate.java
@@ -1,8 +1,8 @@
 package railspar.list;
 
-import railspar.Courier;
 import java.util.BitSet;
 import java.util.stream.IntStream;
+import railspar.Courier;
 
 /**
  * Applies a list to the table and tells what that changed. A change costs what it holds; a whole list is one pass
--- a/src/main/java/railspar/node/AcceptedMessage.java
+++ b/src/main/java/railspar/node/AcceptedMessage.java
@@ -119,7 +119,8 @@
     /** The attempts before the one in flight. */
     Courier.AttemptHistory historyBeforeCurrentAttempt(final Clock clock) {
         final boolean ran = firstEffectPersistentUs != NEVER;
-        return new Courier.AttemptHistory(attempts, ran, ran ? clock.fromPersistentUs(firstEffectPersistentUs) : 0, effectZone);
+        return new Courier.AttemptHistory(
+                attempts, ran, ran ? clock.fromPersistentUs(firstEffectPersistentUs) : 0, effectZone);
     }
 
     /**
@@ -129,6 +130,9 @@
         final long firstPersistentUs = Math.min(firstEffectPersistentUs, attemptStartPersistentUs);
         final boolean ran = firstPersistentUs != NEVER;
         return new Courier.AttemptHistory(
-                attempts, ran, ran ? clock.fromPersistentUs(firstPersistentUs) : 0, hasAttemptInFlight() ? attemptZone : effectZone);
+                attempts,
+                ran,
+                ran ? clock.fromPersistentUs(firstPersistentUs) : 0,
+                hasAttemptInFlight() ? attemptZone : effectZone);
     }
 }
--- a/src/main/java/railspar/node/CallCodec.java
+++ b/src/main/java/railspar/node/CallCodec.java
@@ -5,9 +5,6 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import railspar.Courier;
-import railspar.Courier.Result;
-import railspar.node.EndpointClient.AttemptOutcome;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -20,6 +17,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import railspar.Courier;
+import railspar.Courier.Result;
+import railspar.node.EndpointClient.AttemptOutcome;
 
 /** The requests of calls to endpoints and the meaning of their answers, as the protocol page gives both. */
 final class CallCodec {
@@ -85,7 +85,8 @@
         return switch (head.status().code()) {
             case OK -> new AttemptOutcome(Result.DELIVERED, true, waitUs, allowance);
             case BUSY -> new AttemptOutcome(Result.REFUSED, false, waitUs, allowance);
-            case UNAVAILABLE -> new AttemptOutcome(lineBusy ? Result.NOT_SENT : Result.REFUSED, false, waitUs, allowance);
+            case UNAVAILABLE ->
+                new AttemptOutcome(lineBusy ? Result.NOT_SENT : Result.REFUSED, false, waitUs, allowance);
             case NO_MORE -> new AttemptOutcome(Result.NOT_SENT, false, waitUs, allowance);
             case GONE -> new AttemptOutcome(Result.NOT_SENT, true, waitUs, allowance);
             default -> new AttemptOutcome(Result.ERROR, false, waitUs, allowance);
--- a/src/main/java/railspar/node/ClientServer.java
+++ b/src/main/java/railspar/node/ClientServer.java
@@ -1,6 +1,5 @@
 package railspar.node;
 
-import railspar.Courier;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -43,6 +42,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Pattern;
+import railspar.Courier;
 
 /**
  * Where clients hand messages in. A message that is taken is answered in the pass that read it; whatever cannot be
@@ -136,7 +136,8 @@
 
     /** Ends connections in time from now on. */
     void startSweeping(final EventLoop loop) {
-        loop.scheduleWithFixedDelay(() -> host.afterSocketReads(this::sweep), SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                () -> host.afterSocketReads(this::sweep), SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
     /**
@@ -547,7 +548,8 @@
             // Either "/class", or "/class/key" where the class keeps an order, and no more: anything else is no
             // message.
             final String[] parts = path.split("/", -1);
-            final Courier.MessageClass kind = parts.length > 1 && parts[0].isEmpty() ? host.messageClass(parts[1]) : null;
+            final Courier.MessageClass kind =
+                    parts.length > 1 && parts[0].isEmpty() ? host.messageClass(parts[1]) : null;
             if (kind == null
                     || parts.length != (kind.ordered() ? 3 : 2)
                     || !KEY.matcher(parts[parts.length - 1]).matches()) {
@@ -624,7 +626,8 @@
 
         private ChannelFuture answer(final HttpResponseStatus status, final long retryAfterUs) {
             // Whoever does not speak as agreed is not kept, or its connections would fill the descriptors.
-            final boolean strange = status.codeClass() == HttpStatusClass.CLIENT_ERROR && status.code() != TOO_MANY_REQUESTS;
+            final boolean strange =
+                    status.codeClass() == HttpStatusClass.CLIENT_ERROR && status.code() != TOO_MANY_REQUESTS;
             // A request that is here already, or a part of it, is answered too: the last one's answer says close.
             final boolean more = !queue.isEmpty() || begun || reading || fault != null;
             final boolean keep = HttpUtil.isKeepAlive(current.head()) && !strange && (more || !draining && !isLeft());
--- a/src/main/java/railspar/node/Config.java
+++ b/src/main/java/railspar/node/Config.java
@@ -1,10 +1,6 @@
 package railspar.node;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import railspar.Courier;
-import railspar.bench.Fields;
-import railspar.bench.MalformedLineException;
-import railspar.bench.SettingsReader;
 import io.netty.util.NetUtil;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -15,6 +11,10 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HashMap;
 import java.util.Map;
+import railspar.Courier;
+import railspar.bench.Fields;
+import railspar.bench.MalformedLineException;
+import railspar.bench.SettingsReader;
 
 /**
  * What a courier is told at its start: the file of the configuration, with the environment's word on addresses and
@@ -131,7 +131,7 @@
     /** Tells these settings from other ones: what was read under them means the same in the next process. */
     long fingerprint() {
         try {
-            final byte[] text = (name + ' ' + settings).getBytes(StandardCharsets.UTF_8);
+            final byte[] text = (name + ' ' + StoredSettingsText.of(settings)).getBytes(StandardCharsets.UTF_8);
             return ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest(text))
                     .getLong();
         } catch (final NoSuchAlgorithmException e) {
--- a/src/main/java/railspar/node/ConfigFile.java
+++ b/src/main/java/railspar/node/ConfigFile.java
@@ -31,7 +31,8 @@
                 if (name.equals(LIST) && value == JsonToken.START_OBJECT) {
                     final long from = tokens.currentTokenLocation().getByteOffset();
                     tokens.skipChildren();
-                    known = ConfiguredList.inFile(path, from, tokens.currentLocation().getByteOffset());
+                    known = ConfiguredList.inFile(
+                            path, from, tokens.currentLocation().getByteOffset());
                 } else {
                     root.set(name, mapper.readTree(tokens));
                 }
--- a/src/main/java/railspar/node/ConfiguredList.java
+++ b/src/main/java/railspar/node/ConfiguredList.java
@@ -3,14 +3,14 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
-import railspar.list.ListParser;
-import railspar.list.StagedList;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.function.Consumer;
+import railspar.list.ListParser;
+import railspar.list.StagedList;
 
 /**
  * The list of endpoints that the configuration holds. It may be many times larger than all the rest, so it is never
--- a/src/main/java/railspar/node/Discovery.java
+++ b/src/main/java/railspar/node/Discovery.java
@@ -1,11 +1,5 @@
 package railspar.node;
 
-import railspar.Courier;
-import railspar.list.EndpointTable;
-import railspar.list.ListFormatException;
-import railspar.list.ListStore;
-import railspar.list.StagedList;
-import railspar.list.TableUpdate;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -16,6 +10,12 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
+import railspar.Courier;
+import railspar.list.EndpointTable;
+import railspar.list.ListFormatException;
+import railspar.list.ListStore;
+import railspar.list.StagedList;
+import railspar.list.TableUpdate;
 
 /**
  * The list of endpoints: the copy from the configuration at first, then a watch on its changes. When the watch
@@ -95,7 +95,8 @@
     @Override
     public List<Courier.Endpoint> endpointsOf(final long destination) {
         final List<Courier.Endpoint> entries = new ArrayList<>();
-        table.forEachOfDestination(destination, endpoint -> entries.add(endpoint(endpoint, table.conditionOf(endpoint))));
+        table.forEachOfDestination(
+                destination, endpoint -> entries.add(endpoint(endpoint, table.conditionOf(endpoint))));
         return entries;
     }
 
@@ -110,7 +111,8 @@
             return null;
         }
         final int kind = kind(endpoint);
-        final boolean apart = kind >= 0 && config.settings().destinationKinds().get(kind).separateRoutes();
+        final boolean apart =
+                kind >= 0 && config.settings().destinationKinds().get(kind).separateRoutes();
         return new EndpointClient.Target(table.destinationOf(endpoint), apart, table.addressOf(endpoint));
     }
 
--- a/src/main/java/railspar/node/EndpointClient.java
+++ b/src/main/java/railspar/node/EndpointClient.java
@@ -1,9 +1,5 @@
 package railspar.node;
 
-import railspar.Courier;
-import railspar.Courier.Result;
-import railspar.DeliveryRules;
-import railspar.DeliveryRules.Transmission;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -36,6 +32,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 import java.util.regex.Pattern;
+import railspar.Courier;
+import railspar.Courier.Result;
+import railspar.DeliveryRules;
+import railspar.DeliveryRules.Transmission;
 
 /**
  * Calls to endpoints, with one message or several, over connections that are kept and carry one call at a time. It
@@ -79,7 +79,11 @@
     record AttemptOutcome(Result result, boolean isFinal, long retryAfterUs, Courier.ReportedLimit reportedLimit) {}
 
     EndpointClient(
-            final Config config, final EventLoop loop, final Clock clock, final StallDetector stalls, final MessageService host) {
+            final Config config,
+            final EventLoop loop,
+            final Clock clock,
+            final StallDetector stalls,
+            final MessageService host) {
         this.clock = clock;
         this.stalls = stalls;
         this.loop = loop;
@@ -160,10 +164,15 @@
             this.parcels = new ArrayList<>(parcels);
             this.many = parcels.size() > 1;
             this.sentUs = sentUs;
-            this.writeByUs =
-                    parcels.stream().mapToLong(MessageService.CallItem::writeDeadlineUs).min().orElse(AcceptedMessage.NEVER);
+            this.writeByUs = parcels.stream()
+                    .mapToLong(MessageService.CallItem::writeDeadlineUs)
+                    .min()
+                    .orElse(AcceptedMessage.NEVER);
             this.deadlineUs = sentUs
-                    + parcels.stream().mapToLong(MessageService.CallItem::timeoutUs).max().orElse(0);
+                    + parcels.stream()
+                            .mapToLong(MessageService.CallItem::timeoutUs)
+                            .max()
+                            .orElse(0);
         }
 
         long endpoint() {
@@ -244,10 +253,9 @@
     /** Closes connections before the endpoint does: a request that crosses its close may have run, or not. */
     private void closeOld() {
         final long beforeUs = clock.nowUs() - idleUs;
-        pools.values()
-                .forEach(pool -> List.copyOf(pool.idle).stream()
-                        .filter(reader -> reader.idleSinceUs <= beforeUs)
-                        .forEach(Reader::close));
+        pools.values().forEach(pool -> List.copyOf(pool.idle).stream()
+                .filter(reader -> reader.idleSinceUs <= beforeUs)
+                .forEach(Reader::close));
     }
 
     private void makeRoom() {
@@ -273,9 +281,9 @@
      */
     Call prepareCall(final long endpoint, final List<MessageService.CallItem> parcels) {
         final List<MessageService.CallItem> ranked = new ArrayList<>(parcels);
-        ranked.sort(
-                Comparator.comparingLong((MessageService.CallItem parcel) -> parcel.message().latestEndUs())
-                        .reversed());
+        ranked.sort(Comparator.comparingLong(
+                        (MessageService.CallItem parcel) -> parcel.message().latestEndUs())
+                .reversed());
         return new Call(pool(endpoint), endpoint, ranked, clock.nowUs());
     }
 
@@ -423,7 +431,8 @@
             host.remainsInCall(parcel);
         }
         final Transmission request = call.handedOver ? Transmission.SENT : Transmission.NOT_SENT;
-        host.attemptEnded(parcel, call, new AttemptOutcome(DeliveryRules.resultOf(request, Result.TIMED_OUT), false, 0, null));
+        host.attemptEnded(
+                parcel, call, new AttemptOutcome(DeliveryRules.resultOf(request, Result.TIMED_OUT), false, 0, null));
     }
 
     /** A call is out no more; false if it was not. */
@@ -670,7 +679,8 @@
         private void tellEach(final Call done, final AttemptOutcome all) {
             final Map<String, String> states = CallCodec.parseStates(body.toByteArray());
             for (final MessageService.CallItem parcel : done.parcels) {
-                final AttemptOutcome one = CallCodec.outcomeOfMessage(states.getOrDefault(parcel.message().accepted.id, ""), all);
+                final AttemptOutcome one =
+                        CallCodec.outcomeOfMessage(states.getOrDefault(parcel.message().accepted.id, ""), all);
                 host.attemptEnded(parcel, done, one);
             }
         }
--- a/src/main/java/railspar/node/HandoverReader.java
+++ b/src/main/java/railspar/node/HandoverReader.java
@@ -1,6 +1,5 @@
 package railspar.node;
 
-import railspar.Courier;
 import java.io.DataInputStream;
 import java.io.IOException;
 import java.nio.channels.FileChannel;
@@ -15,6 +14,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import railspar.Courier;
 
 /** Reads the file that a process which hands over writes as {@link HandoverWriter}. */
 final class HandoverReader {
@@ -67,7 +67,8 @@
     }
 
     /** Readers for all processes that have handed over or are doing so, with their calls in flight so far. */
-    static List<HandoverReader> openAll(final Path folder, final Clock clock, final Journal journal) throws IOException {
+    static List<HandoverReader> openAll(final Path folder, final Clock clock, final Journal journal)
+            throws IOException {
         final List<HandoverReader> found = new ArrayList<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, HandoverWriter.FILE_PREFIX + "*")) {
             for (final Path path : files) {
--- a/src/main/java/railspar/node/HandoverWriter.java
+++ b/src/main/java/railspar/node/HandoverWriter.java
@@ -1,6 +1,5 @@
 package railspar.node;
 
-import railspar.Courier;
 import java.io.DataOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -9,6 +8,7 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 import java.util.Map;
+import railspar.Courier;
 
 /**
  * Writes what a process that hands over tells its successor, to a file of {@link Records} that only it writes and
@@ -41,8 +41,8 @@
 
     /** Begins a file of its own in that folder. */
     static HandoverWriter create(final Path folder, final Clock clock, final long diskBytes) throws IOException {
-        final Path path = folder.resolve(
-                FILE_PREFIX + clock.persistentUs() + "-" + ProcessHandle.current().pid());
+        final Path path = folder.resolve(FILE_PREFIX + clock.persistentUs() + "-"
+                + ProcessHandle.current().pid());
         final FileChannel file = FileChannel.open(
                 path, StandardOpenOption.CREATE_NEW, StandardOpenOption.READ, StandardOpenOption.WRITE);
         return new HandoverWriter(clock, new RecordFile(file, 0), file.lock(), (long) (FILE_SHARE * diskBytes));
@@ -78,11 +78,13 @@
     }
 
     /** Writes the outcome of a message's call. */
-    void writeOutcome(final String id, final EndpointClient.AttemptOutcome answer, final long durationUs) throws IOException {
+    void writeOutcome(final String id, final EndpointClient.AttemptOutcome answer, final long durationUs)
+            throws IOException {
         append(OUTCOME, id, out -> write(out, answer, durationUs));
     }
 
-    private static void write(final DataOutputStream out, final EndpointClient.AttemptOutcome answer, final long durationUs)
+    private static void write(
+            final DataOutputStream out, final EndpointClient.AttemptOutcome answer, final long durationUs)
             throws IOException {
         out.writeUTF(answer.result().name());
         out.writeBoolean(answer.isFinal());
--- a/src/main/java/railspar/node/IntervalCounters.java
+++ b/src/main/java/railspar/node/IntervalCounters.java
@@ -1,8 +1,8 @@
 package railspar.node;
 
-import railspar.Courier;
 import java.util.EnumMap;
 import java.util.Map;
+import railspar.Courier;
 
 /** Counts events since the last report in the log. */
 final class IntervalCounters {
@@ -50,10 +50,12 @@
 
     /** Returns the counts as text and resets them. */
     String summarizeAndReset() {
-        final String text = "taken " + messagesAccepted + ", turned away " + messagesRejected + ", ended undelivered " + messagesEndedUndelivered
+        final String text = "taken " + messagesAccepted + ", turned away " + messagesRejected + ", ended undelivered "
+                + messagesEndedUndelivered
                 + ", shed " + connectionsShed + ", in doubt " + requestsInDoubt + " requests and " + answersInDoubt
                 + " answers, attempts " + outcomes;
-        messagesAccepted = messagesRejected = messagesEndedUndelivered = connectionsShed = requestsInDoubt = answersInDoubt = 0;
+        messagesAccepted =
+                messagesRejected = messagesEndedUndelivered = connectionsShed = requestsInDoubt = answersInDoubt = 0;
         outcomes.clear();
         return text;
     }
--- a/src/main/java/railspar/node/Journal.java
+++ b/src/main/java/railspar/node/Journal.java
@@ -418,8 +418,8 @@
         final String runZone = in.readUTF();
         final boolean ordered = in.available() > 0 && in.readBoolean();
         final String orderKey = ordered ? in.readUTF() : null;
-        final AcceptedMessage taken =
-                new AcceptedMessage(id, className, keyed ? key : null, orderKey, destination, validUntilPersistentUs, body);
+        final AcceptedMessage taken = new AcceptedMessage(
+                id, className, keyed ? key : null, orderKey, destination, validUntilPersistentUs, body);
         taken.restoreAttempts(attempts, firstRunPersistentUs, runZone);
         return taken;
     }
--- a/src/main/java/railspar/node/ListSubscription.java
+++ b/src/main/java/railspar/node/ListSubscription.java
@@ -1,7 +1,5 @@
 package railspar.node;
 
-import railspar.list.ListFormatException;
-import railspar.list.StagedList;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.HttpClientCodec;
 import java.net.InetSocketAddress;
@@ -9,6 +7,8 @@
 import java.util.List;
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
+import railspar.list.ListFormatException;
+import railspar.list.StagedList;
 
 /**
  * Keeps a watch on the list with the platform's agent. While none is known to live, another one is opened every
--- a/src/main/java/railspar/node/Main.java
+++ b/src/main/java/railspar/node/Main.java
@@ -100,7 +100,8 @@
     }
 
     /** An event loop needs descriptors; the framework tells a lack of them by an unchecked exception. */
-    private static Main main(final Config config, final Clock clock, final OwnerLock turn, final ServerSocketChannel held)
+    private static Main main(
+            final Config config, final Clock clock, final OwnerLock turn, final ServerSocketChannel held)
             throws IOException {
         try {
             return new Main(config, clock, turn, held);
@@ -201,7 +202,8 @@
         }
         final MemoryBudget memory = MemoryBudget.ofHeap(Runtime.getRuntime().maxMemory());
         final GcMonitor collections = new GcMonitor(memory);
-        loop.scheduleWithFixedDelay(collections::checkForCollection, COLLECTION_MS, COLLECTION_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                collections::checkForCollection, COLLECTION_MS, COLLECTION_MS, TimeUnit.MILLISECONDS);
         StartRetry.onExecutor(loop, "open the journal", () -> {
             if (!ending) {
                 takeUp(memory);
--- a/src/main/java/railspar/node/MessageService.java
+++ b/src/main/java/railspar/node/MessageService.java
@@ -1,10 +1,5 @@
 package railspar.node;
 
-import railspar.Control;
-import railspar.Courier;
-import railspar.DeliveryRules;
-import railspar.DeliveryRules.Transmission;
-import railspar.DeliveryRules.Violation;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -19,6 +14,11 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
+import railspar.Control;
+import railspar.Courier;
+import railspar.DeliveryRules;
+import railspar.DeliveryRules.Transmission;
+import railspar.DeliveryRules.Violation;
 
 /**
  * The one that calls {@link Control}: it tells it what the sockets brought in a pass of the event loop, lets it
@@ -168,7 +168,8 @@
                 .toList());
         this.loop = loop;
         this.clock = clock;
-        this.folder = new OperatorOverrides(config.state(), config.settings().ruleParameters().warmupUs());
+        this.folder = new OperatorOverrides(
+                config.state(), config.settings().ruleParameters().warmupUs());
         this.stalls = StallDetector.start(loop, clock);
         this.endpointClient = new EndpointClient(config, loop, clock, stalls, this);
         this.unrecordedCalls = new UnrecordedCalls(clock, endpointClient, this::recordAttempts, this::mayCall);
@@ -238,7 +239,9 @@
             changed.removeIf(host -> found.get(host).equals(marks.get(host)));
             marks = found;
             Log.info("by hand: "
-                    + found.values().stream().filter(at -> at == OperatorOverrides.DISABLED).count() + " endpoints out; changed "
+                    + found.values().stream()
+                            .filter(at -> at == OperatorOverrides.DISABLED)
+                            .count() + " endpoints out; changed "
                     + changed);
             changed.forEach(this::mark);
             count();
@@ -251,7 +254,11 @@
         final Long endpoint = discovery.idOf(host);
         if (endpoint != null) {
             final long at = marks.get(host);
-            control.onOperatorOverride(clock.nowUs(), endpoint, at == OperatorOverrides.DISABLED, at == OperatorOverrides.DISABLED ? 0 : clock.fromPersistentUs(at));
+            control.onOverride(
+                    clock.nowUs(),
+                    endpoint,
+                    at == OperatorOverrides.DISABLED,
+                    at == OperatorOverrides.DISABLED ? 0 : clock.fromPersistentUs(at));
             if (at == OperatorOverrides.DISABLED) {
                 endpointClient.cancelUnsentCalls(endpoint);
             }
@@ -366,7 +373,8 @@
                 one.callsInFlight().forEach(this::cutOff);
                 one.closeAndDelete();
                 journal.recordReadPosition(one.fileName(), Journal.FILE_REMOVED);
-                Log.info("the process before this one has ended, " + one.callsInFlight().size() + " of its calls cut off");
+                Log.info("the process before this one has ended, "
+                        + one.callsInFlight().size() + " of its calls cut off");
             } catch (final IOException e) {
                 Log.info("cannot end with " + one.fileName() + ": " + e.getMessage());
             }
@@ -438,7 +446,8 @@
         }
         for (final OpenMessage open : messages.values()) {
             if (open.accepted.hasAttemptInFlight()) {
-                final String there = open.call == null ? outTo(open.accepted.id) : discovery.nameOf(open.call.endpoint());
+                final String there =
+                        open.call == null ? outTo(open.accepted.id) : discovery.nameOf(open.call.endpoint());
                 file.writeCallInFlight(open.accepted.id, there == null ? "" : there);
             }
         }
@@ -494,7 +503,13 @@
 
     private static Courier.Message message(final OpenMessage open, final int index) {
         return new Courier.Message(
-                open.accepted.id, index, -1, open.accepted.orderKey, open.validUntilUs, open.accepted.destination, open.ageUncertaintyUs);
+                open.accepted.id,
+                index,
+                -1,
+                open.accepted.orderKey,
+                open.validUntilUs,
+                open.accepted.destination,
+                open.ageUncertaintyUs);
     }
 
     // ---------------------------------------------------------------- what the sockets bring
@@ -530,7 +545,8 @@
             return;
         }
         final int index = classes.get(held.className);
-        final OpenMessage open = new OpenMessage(held, config.settings().classes().get(index), validUntilUs, reply, clock.nowUs());
+        final OpenMessage open =
+                new OpenMessage(held, config.settings().classes().get(index), validUntilUs, reply, clock.nowUs());
         counters.messageAccepted();
         messages.put(held.id, open);
         unanswered.add(open);
@@ -603,7 +619,8 @@
     }
 
     /** The outcome of one message's part in a call. */
-    void attemptEnded(final CallItem parcel, final EndpointClient.Call call, final EndpointClient.AttemptOutcome answer) {
+    void attemptEnded(
+            final CallItem parcel, final EndpointClient.Call call, final EndpointClient.AttemptOutcome answer) {
         final OpenMessage open = parcel.message();
         open.call = null;
         counters.attemptEnded(answer.result());
@@ -663,7 +680,11 @@
     }
 
     /** A message is out no more, here or at the process before this one. */
-    private void settle(final OpenMessage open, final long endpoint, final EndpointClient.AttemptOutcome answer, final long durationUs) {
+    private void settle(
+            final OpenMessage open,
+            final long endpoint,
+            final EndpointClient.AttemptOutcome answer,
+            final long durationUs) {
         open.lastResult = answer.result();
         final boolean delivered = answer.result() == Courier.Result.DELIVERED;
         if (!open.over) {
@@ -809,7 +830,8 @@
         try {
             for (final CallItem parcel : parcels) {
                 parcel.message().assignCall(call);
-                parcel.message().firstSentUs = parcel.message().firstSentUs == 0 ? clock.nowUs() : parcel.message().firstSentUs;
+                parcel.message().firstSentUs =
+                        parcel.message().firstSentUs == 0 ? clock.nowUs() : parcel.message().firstSentUs;
             }
             recorded = recordAttempts(endpoint, parcels);
         } catch (final RuntimeException e) {
@@ -829,7 +851,8 @@
         boolean recorded = true;
         for (final CallItem parcel : parcels) {
             final AcceptedMessage held = parcel.message().accepted;
-            recorded &= held.hasAttemptInFlight() || journal.beginAttempt(held, clock.persistentUs(), discovery.zone(endpoint));
+            recorded &= held.hasAttemptInFlight()
+                    || journal.beginAttempt(held, clock.persistentUs(), discovery.zone(endpoint));
         }
         return recorded;
     }
@@ -877,7 +900,8 @@
         if (open.messageClass.effect() != Courier.Effect.KEYED || firstPersistentUs == AcceptedMessage.NEVER) {
             return AcceptedMessage.NEVER;
         }
-        return clock.fromPersistentUs(firstPersistentUs) + (long) ((1 - KEY_MARGIN) * open.messageClass.dedupWindowUs());
+        return clock.fromPersistentUs(firstPersistentUs)
+                + (long) ((1 - KEY_MARGIN) * open.messageClass.dedupWindowUs());
     }
 
     @Override
@@ -989,8 +1013,8 @@
 
     /** Every few seconds, what came and went. */
     private void report() {
-        Log.info(counters.summarizeAndReset() + "; open " + messages.size() + ", " + endpointClient.describe() + ", violations prevented "
-                + rules.total());
+        Log.info(counters.summarizeAndReset() + "; open " + messages.size() + ", " + endpointClient.describe()
+                + ", violations prevented " + rules.total());
     }
 
     private void count() {
@@ -1053,6 +1077,8 @@
 
     /** True when nothing is under way that the end of the process would cut off. */
     boolean isIdle() {
-        return leaving == null ? messages.isEmpty() && unrecorded.isEmpty() && notices.isEmpty() : endpointClient.hasNoCalls();
+        return leaving == null
+                ? messages.isEmpty() && unrecorded.isEmpty() && notices.isEmpty()
+                : endpointClient.hasNoCalls();
     }
 }
--- a/src/main/java/railspar/node/OperatorOverrides.java
+++ b/src/main/java/railspar/node/OperatorOverrides.java
@@ -16,9 +16,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The endpoints that operators have disabled, in the folder that outlasts the process: an empty file for each, so that
- * two processes of one courier can both write without a lock. The file of one that was enabled again is kept for as
- * long as the endpoint may be cold; the file's modification time says since when.
+ * The endpoints that operators have disabled, in the folder that outlasts the process: an empty file for each, so
+ * that two processes of one courier can both write without a lock. The file of one that was enabled again is kept
+ * for as long as the endpoint may be cold; the file's modification time says since when.
  */
 final class OperatorOverrides {
     /** In place of a time: the endpoint is disabled. */
--- a/src/main/java/railspar/node/TrackedSocketChannel.java
+++ b/src/main/java/railspar/node/TrackedSocketChannel.java
@@ -1,11 +1,11 @@
 package railspar.node;
 
-import railspar.DeliveryRules.Transmission;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelOutboundBuffer;
 import io.netty.channel.socket.nio.NioSocketChannel;
 import java.io.IOException;
 import java.nio.channels.SocketChannel;
+import railspar.DeliveryRules.Transmission;
 
 /**
  * A connection that knows whether a write on its socket was tried, and whether one failed. The framework closes a
--- a/src/main/java/railspar/node/UnrecordedCalls.java
+++ b/src/main/java/railspar/node/UnrecordedCalls.java
@@ -1,9 +1,9 @@
 package railspar.node;
 
-import railspar.Courier;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongPredicate;
+import railspar.Courier;
 
 /**
  * Calls that were decided while the journal could not record their attempts. They are begun as soon as it can: each
@@ -26,14 +26,19 @@
     private record Waiting(long endpoint, List<MessageService.CallItem> parcels, EndpointClient.Call call) {
         /** Its messages that still wait for this call. */
         List<MessageService.CallItem> open() {
-            return parcels.stream().filter(parcel -> parcel.message().isCurrentCall(call)).toList();
+            return parcels.stream()
+                    .filter(parcel -> parcel.message().isCurrentCall(call))
+                    .toList();
         }
 
         boolean isDue(final long nowUs) {
-            final long longestUs =
-                    parcels.stream().mapToLong(MessageService.CallItem::timeoutUs).max().orElse(0);
+            final long longestUs = parcels.stream()
+                    .mapToLong(MessageService.CallItem::timeoutUs)
+                    .max()
+                    .orElse(0);
             return nowUs - call.sentUs() >= longestUs
-                    || open().stream().anyMatch(parcel -> nowUs >= parcel.message().latestEndUs());
+                    || open().stream()
+                            .anyMatch(parcel -> nowUs >= parcel.message().latestEndUs());
         }
     }
 
@@ -70,7 +75,8 @@
     private void begin(final Waiting one, final List<MessageService.CallItem> open) {
         final long waitedUs = clock.nowUs() - one.call().sentUs();
         final List<MessageService.CallItem> rest = open.stream()
-                .map(parcel -> new MessageService.CallItem(parcel.message(), parcel.timeoutUs() - waitedUs, parcel.writeDeadlineUs()))
+                .map(parcel -> new MessageService.CallItem(
+                        parcel.message(), parcel.timeoutUs() - waitedUs, parcel.writeDeadlineUs()))
                 .toList();
         final EndpointClient.Call call = endpoints.prepareCall(one.endpoint(), rest);
         rest.forEach(parcel -> parcel.message().assignCall(call));
--- a/src/main/java/railspar/node/Watch.java
+++ b/src/main/java/railspar/node/Watch.java
@@ -1,8 +1,5 @@
 package railspar.node;
 
-import railspar.list.ListFormatException;
-import railspar.list.ListParser;
-import railspar.list.StagedList;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelException;
 import io.netty.channel.ChannelHandlerContext;
@@ -18,6 +15,9 @@
 import java.io.IOException;
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
+import railspar.list.ListFormatException;
+import railspar.list.ListParser;
+import railspar.list.StagedList;
 
 /**
  * One watch on the list, until its connection ends. It reads lists as their bytes come and gives away whole ones. It
--- a/src/main/java/railspar/scale/RealCourierRun.java
+++ b/src/main/java/railspar/scale/RealCourierRun.java
@@ -1,5 +1,16 @@
 package railspar.scale;
 
+import java.io.IOException;
+import java.io.PrintWriter;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import org.HdrHistogram.Histogram;
 import railspar.scale.fleet.FleetFigures;
 import railspar.scale.real.CourierConfiguration;
 import railspar.scale.real.CourierLimits;
@@ -12,27 +23,19 @@
 import railspar.scale.standin.FleetPlan;
 import railspar.scale.standin.ListHistory;
 import railspar.scale.standin.LoopbackPorts;
-import java.io.IOException;
-import java.io.PrintWriter;
-import java.net.InetSocketAddress;
-import java.net.Socket;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.time.Duration;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Optional;
-import org.HdrHistogram.Histogram;
 
 /**
- * A few real couriers, as processes by the deploy file's command, before the list of the plan: their first start, idle
- * time, changes, an outage of discovery, and a start after SIGKILL. Each has discovery at an agent of its own; all
- * agents have one list. In real time; they are asked one after another, so with several a time is the last one's.
+ * A few real couriers, as processes by the deploy file's command, before the list of the plan: their first start,
+ * idle time, changes, an outage of discovery, and a start after SIGKILL. Each has discovery at an agent of its own;
+ * all agents have one list. In real time; they are asked one after another, so with several a time is the last
+ * one's.
  */
 final class RealCourierRun {
     private static final int MEMORY_MB = 192;
     private static final int SOCKETS = 1024;
-    /** In the target the journal of a courier takes about a gigabyte; the stored list has a small share of the disk. */
+    /**
+     * In the target the journal of a courier takes about a gigabyte; the stored list has a small share of the disk.
+     */
     private static final int DISK_MB = 1024;
 
     private static final int MOST_OPEN = 5_000;
--- a/src/main/java/railspar/scale/ResultTable.java
+++ b/src/main/java/railspar/scale/ResultTable.java
@@ -1,7 +1,7 @@
 package railspar.scale;
 
-import railspar.scale.fleet.FleetFigures;
 import java.util.Locale;
+import railspar.scale.fleet.FleetFigures;
 
 /** The result of a run as a table for people. */
 final class ResultTable {
--- a/src/main/java/railspar/scale/RunCommand.java
+++ b/src/main/java/railspar/scale/RunCommand.java
@@ -1,12 +1,5 @@
 package railspar.scale;
 
-import railspar.scale.fleet.Disturbances;
-import railspar.scale.fleet.FleetFigures;
-import railspar.scale.fleet.FleetParameters;
-import railspar.scale.fleet.FleetRun;
-import railspar.scale.fleet.Progress;
-import railspar.scale.fleet.SurroundingsModel;
-import railspar.scale.standin.FleetPlan;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -20,6 +13,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
+import railspar.scale.fleet.Disturbances;
+import railspar.scale.fleet.FleetFigures;
+import railspar.scale.fleet.FleetParameters;
+import railspar.scale.fleet.FleetRun;
+import railspar.scale.fleet.Progress;
+import railspar.scale.fleet.SurroundingsModel;
+import railspar.scale.standin.FleetPlan;
 
 /** Plays a fleet of hollow couriers; the defaults are the target's figures, times the scale. */
 @Command(
--- a/src/main/java/railspar/scale/RunResult.java
+++ b/src/main/java/railspar/scale/RunResult.java
@@ -2,14 +2,14 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
-import railspar.scale.fleet.FleetFigures;
-import railspar.scale.fleet.FleetParameters;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.List;
+import railspar.scale.fleet.FleetFigures;
+import railspar.scale.fleet.FleetParameters;
 
 /** The result of a run as it is written to a file. */
 record RunResult(
--- a/src/main/java/railspar/scale/ScaleCommand.java
+++ b/src/main/java/railspar/scale/ScaleCommand.java
@@ -1,18 +1,18 @@
 package railspar.scale;
 
-import railspar.scale.real.BacklogSlopeCommand;
-import railspar.scale.real.ChangeScheduleCommand;
-import railspar.scale.real.ListSlopeCommand;
-import railspar.scale.slope.SlopeCommand;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
+import railspar.scale.real.BacklogSlopeCommand;
+import railspar.scale.real.ChangeScheduleCommand;
+import railspar.scale.real.ListSlopeCommand;
+import railspar.scale.slope.SlopeCommand;
 
 /**
- * The command line of the scale tools. Exit codes: 0 when a command has done its work, 1 when it failed or found a sum
- * that does not come out even, 2 for bad arguments.
+ * The command line of the scale tools. Exit codes: 0 when a command has done its work, 1 when it failed or found a
+ * sum that does not come out even, 2 for bad arguments.
  */
 @Command(
         name = "scale",
--- a/src/main/java/railspar/scale/fleet/CourierFigures.java
+++ b/src/main/java/railspar/scale/fleet/CourierFigures.java
@@ -27,7 +27,9 @@
         (first ? firstReadyUs : restartReadyUs).add(tookUs);
     }
 
-    /** A change is known to discovery from the begin of its slice on, so that it may come into force just before it. */
+    /**
+     * A change is known to discovery from the begin of its slice on, so that it may come into force just before it.
+     */
     void inForce(final Iterable<Long> madeAtUs, final long reachableUs, final long nowUs) {
         madeAtUs.forEach(madeUs -> inForceUs.add(Math.max(0, nowUs - Math.max(madeUs, reachableUs))));
     }
--- a/src/main/java/railspar/scale/fleet/CourierList.java
+++ b/src/main/java/railspar/scale/fleet/CourierList.java
@@ -1,17 +1,17 @@
 package railspar.scale.fleet;
 
-import railspar.Courier;
-import railspar.list.EndpointTable;
-import railspar.list.ListParser;
-import railspar.list.ListStore;
-import railspar.list.StagedList;
-import railspar.list.TableUpdate;
 import java.io.IOException;
 import java.nio.file.DirectoryStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import railspar.Courier;
+import railspar.list.EndpointTable;
+import railspar.list.ListParser;
+import railspar.list.ListStore;
+import railspar.list.StagedList;
+import railspar.list.TableUpdate;
 
 /**
  * The list of endpoints of one courier process: the real table, kept up to date by the real parser from a watch's
--- a/src/main/java/railspar/scale/fleet/CourierSettings.java
+++ b/src/main/java/railspar/scale/fleet/CourierSettings.java
@@ -1,8 +1,8 @@
 package railspar.scale.fleet;
 
+import java.util.List;
 import railspar.Courier;
 import railspar.scale.standin.FleetPlan;
-import java.util.List;
 
 /** The settings of a hollow courier: three classes of message, one kind of destination. */
 final class CourierSettings {
--- a/src/main/java/railspar/scale/fleet/Destinations.java
+++ b/src/main/java/railspar/scale/fleet/Destinations.java
@@ -1,9 +1,9 @@
 package railspar.scale.fleet;
 
-import railspar.Courier;
 import java.util.BitSet;
 import java.util.Random;
 import org.HdrHistogram.Histogram;
+import railspar.Courier;
 
 /**
  * All destinations: each bears so many calls a second, is down for a while now and then, and comes back cold. What it
--- a/src/main/java/railspar/scale/fleet/Discovery.java
+++ b/src/main/java/railspar/scale/fleet/Discovery.java
@@ -1,11 +1,11 @@
 package railspar.scale.fleet;
 
-import railspar.scale.standin.EndpointEntry;
-import railspar.scale.standin.ListHistory;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
 import java.util.TreeMap;
+import railspar.scale.standin.EndpointEntry;
+import railspar.scale.standin.ListHistory;
 
 /**
  * Discovery: the list, when each of its versions was made, and whether it speaks. It changes between two slices only,
--- a/src/main/java/railspar/scale/fleet/FleetRun.java
+++ b/src/main/java/railspar/scale/fleet/FleetRun.java
@@ -1,17 +1,17 @@
 package railspar.scale.fleet;
 
-import railspar.scale.standin.EndpointEntry;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import railspar.scale.standin.EndpointEntry;
 
 /**
- * One run of a fleet. Time passes in slices no longer than the least time of an answer: in a slice each courier goes on
- * by itself, then the destinations answer all calls of the slice in the order of their times. So neither the order in
- * which couriers are stepped nor the number of threads changes the result.
+ * One run of a fleet. Time passes in slices no longer than the least time of an answer: in a slice each courier goes
+ * on by itself, then the destinations answer all calls of the slice in the order of their times. So neither the
+ * order in which couriers are stepped nor the number of threads changes the result.
  */
 public final class FleetRun {
     /** The list names it; nobody connects. */
--- a/src/main/java/railspar/scale/fleet/HollowCourier.java
+++ b/src/main/java/railspar/scale/fleet/HollowCourier.java
@@ -1,13 +1,13 @@
 package railspar.scale.fleet;
 
-import railspar.Control;
-import railspar.Courier;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
+import railspar.Control;
+import railspar.Courier;
 
 /**
  * One courier without sockets and files: the real decisions, a list of its own fed by the bytes of a watch, messages
--- a/src/main/java/railspar/scale/fleet/OpenMessages.java
+++ b/src/main/java/railspar/scale/fleet/OpenMessages.java
@@ -1,11 +1,11 @@
 package railspar.scale.fleet;
 
-import railspar.Courier;
 import java.util.BitSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
+import railspar.Courier;
 
 /** The messages that one courier has taken and that have no end yet, as its journal holds them over a restart. */
 final class OpenMessages {
--- a/src/main/java/railspar/scale/fleet/ProcessorTime.java
+++ b/src/main/java/railspar/scale/fleet/ProcessorTime.java
@@ -4,8 +4,8 @@
 import java.lang.management.ThreadMXBean;
 
 /**
- * Processor time of couriers by purpose, measured on the machine of the run; it has no part in the simulation. Rare and
- * long pieces are measured by the thread's processor time, frequent and short ones by the clock around them.
+ * Processor time of couriers by purpose, measured on the machine of the run; it has no part in the simulation. Rare
+ * and long pieces are measured by the thread's processor time, frequent and short ones by the clock around them.
  */
 final class ProcessorTime {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
--- a/src/main/java/railspar/scale/fleet/RegionCut.java
+++ b/src/main/java/railspar/scale/fleet/RegionCut.java
@@ -1,8 +1,8 @@
 package railspar.scale.fleet;
 
-import railspar.scale.standin.FleetPlan;
 import java.util.HashMap;
 import java.util.Map;
+import railspar.scale.standin.FleetPlan;
 
 /**
  * Whether one region is cut off from the others, with the control machines among these. It changes between two slices
--- a/src/main/java/railspar/scale/real/BacklogFiller.java
+++ b/src/main/java/railspar/scale/real/BacklogFiller.java
@@ -1,8 +1,5 @@
 package railspar.scale.real;
 
-import railspar.scale.standin.ClientConnection;
-import railspar.scale.standin.HandIn;
-import railspar.scale.standin.HandInAnswer;
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -16,10 +13,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import org.HdrHistogram.Histogram;
+import railspar.scale.standin.ClientConnection;
+import railspar.scale.standin.HandIn;
+import railspar.scale.standin.HandInAnswer;
 
 /**
- * Hands a number of messages in as fast as a number of clients can, each message once. It ends early when no answer has
- * come for some time, or when it has taken too long as a whole.
+ * Hands a number of messages in as fast as a number of clients can, each message once. It ends early when no answer
+ * has come for some time, or when it has taken too long as a whole.
  */
 final class BacklogFiller {
     private static final int DIGITS = 3;
--- a/src/main/java/railspar/scale/real/BacklogSlopeCommand.java
+++ b/src/main/java/railspar/scale/real/BacklogSlopeCommand.java
@@ -1,9 +1,5 @@
 package railspar.scale.real;
 
-import railspar.scale.standin.DiscoveryServer;
-import railspar.scale.standin.FleetPlan;
-import railspar.scale.standin.ListHistory;
-import railspar.scale.standin.LoopbackPorts;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -19,6 +15,10 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
+import railspar.scale.standin.DiscoveryServer;
+import railspar.scale.standin.FleetPlan;
+import railspar.scale.standin.ListHistory;
+import railspar.scale.standin.LoopbackPorts;
 
 /** Measures what a backlog costs one real courier, at several sizes of the backlog. */
 @Command(
--- a/src/main/java/railspar/scale/real/ChangeScheduleCommand.java
+++ b/src/main/java/railspar/scale/real/ChangeScheduleCommand.java
@@ -1,10 +1,5 @@
 package railspar.scale.real;
 
-import railspar.scale.standin.ConnectionTraffic;
-import railspar.scale.standin.DiscoveryServer;
-import railspar.scale.standin.EndpointEntry;
-import railspar.scale.standin.ListHistory;
-import railspar.scale.standin.LoopbackPorts;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -20,6 +15,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
+import railspar.scale.standin.ConnectionTraffic;
+import railspar.scale.standin.DiscoveryServer;
+import railspar.scale.standin.EndpointEntry;
+import railspar.scale.standin.ListHistory;
+import railspar.scale.standin.LoopbackPorts;
 
 /**
  * Measures one real courier while its list changes at a steady pace, in real time; the defaults are the target's list
--- a/src/main/java/railspar/scale/real/CourierConfiguration.java
+++ b/src/main/java/railspar/scale/real/CourierConfiguration.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import railspar.scale.standin.FleetPlan;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
+import railspar.scale.standin.FleetPlan;
 
 /**
  * The configuration file of one real courier. It knows no endpoint at its start: all come from discovery.
--- a/src/main/java/railspar/scale/real/CourierOptions.java
+++ b/src/main/java/railspar/scale/real/CourierOptions.java
@@ -1,13 +1,13 @@
 package railspar.scale.real;
 
-import railspar.scale.standin.DiscoveryServer;
-import railspar.scale.standin.LoopbackPorts;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
+import railspar.scale.standin.DiscoveryServer;
+import railspar.scale.standin.LoopbackPorts;
 
 /** Options of the commands that start real couriers. */
 final class CourierOptions {
--- a/src/main/java/railspar/scale/real/ListOptions.java
+++ b/src/main/java/railspar/scale/real/ListOptions.java
@@ -1,9 +1,9 @@
 package railspar.scale.real;
 
-import railspar.scale.standin.FleetPlan;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
+import railspar.scale.standin.FleetPlan;
 
 /** Options of the commands that put one real courier before a list of endpoints. */
 final class ListOptions {
--- a/src/main/java/railspar/scale/slope/DecisionFixture.java
+++ b/src/main/java/railspar/scale/slope/DecisionFixture.java
@@ -1,10 +1,10 @@
 package railspar.scale.slope;
 
-import railspar.Control;
-import railspar.Courier;
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.Queue;
+import railspar.Control;
+import railspar.Courier;
 
 /**
  * The decision module with a list of the target's shape, on a clock that only the measurement moves. This is the one
@@ -98,7 +98,8 @@
 
     /** Tells one entry, as an ordinary change does. */
     void tellOneChange() {
-        control.onListUpdate(nowUs, Courier.ListUpdate.INCREMENTAL, list.endpointsOf(0).subList(0, 1));
+        control.onListUpdate(
+                nowUs, Courier.ListUpdate.INCREMENTAL, list.endpointsOf(0).subList(0, 1));
     }
 
     /** Counts the endpoints that get nothing, as the courier's figures do ten times a second. */
@@ -106,7 +107,9 @@
         return control.avoidedEndpoints(nowUs);
     }
 
-    /** Reads how each endpoint stands, as a process does that hands over to another; the result counts the figures. */
+    /**
+     * Reads how each endpoint stands, as a process does that hands over to another; the result counts the figures.
+     */
     int readAllStandings() {
         int figures = 0;
         for (int destination = 0; destination < destinations; destination++) {
--- a/src/main/java/railspar/scale/slope/DecisionSeries.java
+++ b/src/main/java/railspar/scale/slope/DecisionSeries.java
@@ -1,7 +1,7 @@
 package railspar.scale.slope;
 
-import railspar.Courier;
 import java.util.List;
+import railspar.Courier;
 
 /** Processor time and heap of the decision module, against what it holds. */
 final class DecisionSeries {
--- a/src/main/java/railspar/scale/slope/ListTable.java
+++ b/src/main/java/railspar/scale/slope/ListTable.java
@@ -1,15 +1,15 @@
 package railspar.scale.slope;
 
-import railspar.Courier;
-import railspar.list.EndpointTable;
-import railspar.list.ListParser;
-import railspar.list.StagedList;
-import railspar.list.TableUpdate;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import railspar.Courier;
+import railspar.list.EndpointTable;
+import railspar.list.ListParser;
+import railspar.list.StagedList;
+import railspar.list.TableUpdate;
 
 /**
  * The courier's table of endpoints, kept up to date by its parser from the bytes of the protocol, and looked up by
--- a/src/main/java/railspar/scale/slope/SeriesResult.java
+++ b/src/main/java/railspar/scale/slope/SeriesResult.java
@@ -14,8 +14,8 @@
  * @param targetSize the size to which the line is carried
  * @param atTarget the line's value there
  * @param extrapolation how many times the largest measured size that is
- * @param growthExponent the power of the size with which the median grows between the two largest sizes: 1 for a line,
- *     2 for a square; NaN where a median is not above 0
+ * @param growthExponent the power of the size with which the median grows between the two largest sizes: 1 for a
+ * line, 2 for a square; NaN where a median is not above 0
  */
 public record SeriesResult(
         String name,
--- a/src/main/java/railspar/scale/slope/StoredListSample.java
+++ b/src/main/java/railspar/scale/slope/StoredListSample.java
@@ -1,12 +1,12 @@
 package railspar.scale.slope;
 
-import railspar.list.ListStore;
-import railspar.list.TableUpdate;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.DirectoryStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import railspar.list.ListStore;
+import railspar.list.TableUpdate;
 
 /** A list with its copy in a folder, which goes when it is closed. */
 final class StoredListSample implements AutoCloseable {
--- a/src/main/java/railspar/scale/standin/CallChecks.java
+++ b/src/main/java/railspar/scale/standin/CallChecks.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Checks that couriers keep the rules on calls, and counts where they do not. Messages are registered from any thread;
- * all else belongs to the thread that serves the calls.
+ * Checks that couriers keep the rules on calls, and counts where they do not. Messages are registered from any
+ * thread; all else belongs to the thread that serves the calls.
  */
 final class CallChecks {
     /** How long calls to an endpoint that drains are let through. */
--- a/src/main/java/railspar/scale/standin/DestinationServer.java
+++ b/src/main/java/railspar/scale/standin/DestinationServer.java
@@ -105,7 +105,9 @@
         checks.forget(id);
     }
 
-    /** Calls this with the id of each message that is accepted, on the event loop and before the answer is written. */
+    /**
+     * Calls this with the id of each message that is accepted, on the event loop and before the answer is written.
+     */
     public void onAccepted(final Consumer<String> listener) {
         acceptedListeners.add(listener);
     }
--- a/src/main/java/railspar/scale/standin/LoopbackListener.java
+++ b/src/main/java/railspar/scale/standin/LoopbackListener.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A listening socket on loopback that refuses connections as soon as {@link #close} has returned. It has a selector of
- * its own: the kernel's socket ends only once the selector that it is registered with lets go of it.
+ * A listening socket on loopback that refuses connections as soon as {@link #close} has returned. It has a selector
+ * of its own: the kernel's socket ends only once the selector that it is registered with lets go of it.
  */
 final class LoopbackListener implements AutoCloseable {
     private static final int BACKLOG = 4096;
--- a/src/test/java/railspar/ControlFixture.java
+++ b/src/test/java/railspar/ControlFixture.java
@@ -95,7 +95,8 @@
 
     /** As {@link #settings()}, with the limit told exactly. */
     static Courier.Settings withNominalLimit() {
-        return settings(16, 1, false, false, Courier.WeightMeaning.NOMINAL, settings().classes());
+        return settings(
+                16, 1, false, false, Courier.WeightMeaning.NOMINAL, settings().classes());
     }
 
     static Courier.Settings settings() {
@@ -104,7 +105,7 @@
 
     /** As {@link #settings()}, with room for so many messages. */
     static Courier.Settings withMaxOpenMessages(final int messages) {
-        return settings(settings().courierCount(), messages);
+        return settings(settings().fleetSize(), messages);
     }
 
     /** As {@link #settings()}, in a fleet of so many couriers. */
@@ -126,7 +127,7 @@
                 few.destinationKinds(),
                 few.ruleParameters(),
                 new Courier.Limits(
-                        limits.maxCallsInFlight(),
+                        limits.maxCalls(),
                         maxOpen,
                         limits.maxAttempts(),
                         limits.canCancel(),
--- a/src/test/java/railspar/ControlTest.java
+++ b/src/test/java/railspar/ControlTest.java
@@ -1,15 +1,12 @@
 package railspar;
 
-import static railspar.ControlFixture.DEST;
-import static railspar.ControlFixture.MS;
-import static railspar.ControlFixture.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static railspar.ControlFixture.DEST;
+import static railspar.ControlFixture.MS;
+import static railspar.ControlFixture.SECOND;
 
-import railspar.Courier.Condition;
-import railspar.Courier.Result;
-import railspar.Courier.ListUpdate;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -18,6 +15,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import railspar.Courier.Condition;
+import railspar.Courier.ListUpdate;
+import railspar.Courier.Result;
 
 /** The decisions, by behaviour: the table, each rule, each failure found. */
 final class ControlTest {
@@ -150,7 +150,7 @@
     private static Courier.Settings brief(final Courier.Effect effect, final long deadlineUs, final long windowUs) {
         final Courier.Settings usual = ControlFixture.settings();
         return new Courier.Settings(
-                usual.courierCount(),
+                usual.fleetSize(),
                 usual.zone(),
                 usual.listOnRequest(),
                 usual.weightMeaning(),
@@ -317,8 +317,8 @@
         for (int round = 0; round < 40; round++) {
             scene.accept("m" + round, SAFE);
             outstanding()
-                    .forEach(id ->
-                            scene.endAttempt(id, scene.lastAttempt(id).endpoint() == 1 ? Result.NO_CONNECTION : Result.DELIVERED));
+                    .forEach(id -> scene.endAttempt(
+                            id, scene.lastAttempt(id).endpoint() == 1 ? Result.NO_CONNECTION : Result.DELIVERED));
             scene.advance(200 * MS);
         }
         final long sick =
@@ -379,7 +379,10 @@
         List.of("a", "b", "c").forEach(id -> scene.accept(id, SAFE));
         assertEquals(1, scene.attemptCount("a") + scene.attemptCount("b") + scene.attemptCount("c"), "one at once");
         scene.advance(240 * MS);
-        assertEquals(1, scene.attemptCount("a") + scene.attemptCount("b") + scene.attemptCount("c"), "four a second are a quarter apart");
+        assertEquals(
+                1,
+                scene.attemptCount("a") + scene.attemptCount("b") + scene.attemptCount("c"),
+                "four a second are a quarter apart");
         scene.advance(20 * MS);
         assertEquals(2, scene.attemptCount("a") + scene.attemptCount("b") + scene.attemptCount("c"));
     }
@@ -432,7 +435,8 @@
     private static long callsOfFourteen(final double left, final int fromS, final int toS) {
         long calls = 0;
         for (int index = 0; index < 14; index++) {
-            final ControlFixture one = new ControlFixture(ControlFixture.withCourierCount(14), ControlFixture.seed(index));
+            final ControlFixture one =
+                    new ControlFixture(ControlFixture.withCourierCount(14), ControlFixture.seed(index));
             one.updateList(ListUpdate.FULL, ControlFixture.endpoint(1, DEST, "a"));
             final long startUs = one.nowUs;
             IntStream.range(0, 39).forEach(job -> one.accept("m" + job, SAFE));
@@ -440,7 +444,8 @@
                 one.advance(10 * MS);
                 for (final ControlFixture.Sent send : List.copyOf(one.sent)) {
                     if (one.endedAttempts(send.id()) == 0) {
-                        one.control.onOutcome(one.nowUs, one.deliveredWithLimit(send.id(), new Courier.ReportedLimit(left, 16)));
+                        one.control.onOutcome(
+                                one.nowUs, one.deliveredWithLimit(send.id(), new Courier.ReportedLimit(left, 16)));
                         one.control.decide(one.nowUs);
                     }
                 }
@@ -484,7 +489,8 @@
             one.advance(10 * MS);
             for (final ControlFixture.Sent send : List.copyOf(one.sent.subList(4, one.sent.size()))) {
                 if (ended.add(send.id())) {
-                    one.control.onOutcome(one.nowUs, one.deliveredWithLimit(send.id(), new Courier.ReportedLimit(0.9, 22)));
+                    one.control.onOutcome(
+                            one.nowUs, one.deliveredWithLimit(send.id(), new Courier.ReportedLimit(0.9, 22)));
                     one.control.decide(one.nowUs);
                 }
             }
@@ -511,7 +517,8 @@
             one.accept("m" + limit, SAFE);
             one.advance(2 * SECOND);
             assertEquals(1, one.attemptCount("m" + limit), "after another limit: " + limit);
-            one.control.onOutcome(one.nowUs, one.deliveredWithLimit("m" + limit, new Courier.ReportedLimit(0.5, limit)));
+            one.control.onOutcome(
+                    one.nowUs, one.deliveredWithLimit("m" + limit, new Courier.ReportedLimit(0.5, limit)));
             one.control.decide(one.nowUs);
         }
         assertTrue(one.control.describe(DEST).contains("told 30.0"), one.control.describe(DEST));
@@ -534,7 +541,8 @@
         together.forEach(id -> shared.reportOutcome(id, Result.REFUSED, 0));
         shared.control.decide(shared.nowUs);
         shared.advance(3 * SECOND);
-        together.forEach(id -> assertEquals(2, shared.attemptCount(id), "all go again together, not one as a trial: " + id));
+        together.forEach(
+                id -> assertEquals(2, shared.attemptCount(id), "all go again together, not one as a trial: " + id));
     }
 
     /** Day 2 of fukuoka-main: on the ramp calls are what is scarce, and each took a single message. */
@@ -555,7 +563,9 @@
         shared.advance(5 * SECOND);
         ids.forEach(id -> assertEquals(1, shared.attemptCount(id), id));
         assertEquals(
-                1, ids.stream().map(id -> shared.lastAttempt(id).atUs()).distinct().count(), "one call for all");
+                1,
+                ids.stream().map(id -> shared.lastAttempt(id).atUs()).distinct().count(),
+                "one call for all");
     }
 
     /** Day 2 of fukuoka-main: a pub chain of ten messages a call was sent awards one by one, 200 waiting behind. */
@@ -565,7 +575,8 @@
         shared.updateList(ListUpdate.FULL, ControlFixture.endpoint(1, DEST, "a"));
         final List<String> ids = List.of("a", "b", "c", "d", "e", "f");
         ids.forEach(id -> shared.accept(id, UNSAFE));
-        final List<String> out = ids.stream().filter(id -> shared.attemptCount(id) > 0).toList();
+        final List<String> out =
+                ids.stream().filter(id -> shared.attemptCount(id) > 0).toList();
         final List<String> waiting =
                 ids.stream().filter(id -> shared.attemptCount(id) == 0).toList();
         assertTrue(waiting.size() >= 2, "the window holds some back: " + waiting);
@@ -680,8 +691,10 @@
         final double arrivals = 3;
         final List<ControlFixture> fleet = new ArrayList<>();
         for (int index = 0; index < couriers; index++) {
-            final ControlFixture one = new ControlFixture(ControlFixture.withCourierCount(couriers), ControlFixture.seed(index));
-            one.updateList(ListUpdate.CACHED, ControlFixture.endpoint(1, DEST, "a"), ControlFixture.endpoint(2, DEST, "b"));
+            final ControlFixture one =
+                    new ControlFixture(ControlFixture.withCourierCount(couriers), ControlFixture.seed(index));
+            one.updateList(
+                    ListUpdate.CACHED, ControlFixture.endpoint(1, DEST, "a"), ControlFixture.endpoint(2, DEST, "b"));
             one.advance((long) (index / arrivals * SECOND));
             one.accept("m" + index, SAFE, null, 60 * SECOND);
             fleet.add(one);
@@ -711,7 +724,8 @@
     void couriersToldTheSameWaitDoNotComeBackAtTheSameMoment() {
         final List<Long> returns = new ArrayList<>();
         for (int seed = 0; seed < 30; seed++) {
-            final ControlFixture one = new ControlFixture(ControlFixture.withCourierCount(50), ControlFixture.seed(seed));
+            final ControlFixture one =
+                    new ControlFixture(ControlFixture.withCourierCount(50), ControlFixture.seed(seed));
             one.updateList(ListUpdate.CACHED, ControlFixture.endpoint(1, DEST, "a"));
             one.accept("m", SAFE);
             one.endAttempt("m", Result.REFUSED, 4 * SECOND);
@@ -893,7 +907,8 @@
         }
     }
 
-    private static void resume(final ControlFixture scene, final String id, final int kind, final Courier.AttemptHistory past) {
+    private static void resume(
+            final ControlFixture scene, final String id, final int kind, final Courier.AttemptHistory past) {
         scene.control.onMessageResumed(
                 scene.nowUs,
                 new Courier.Message(id, kind, -1, null, scene.nowUs + 16 * ControlFixture.SECOND, ControlFixture.DEST),
@@ -908,7 +923,11 @@
         assertEquals(1, scene.attemptCount("safe"), "a safe one may go again");
         resume(scene, "spent", 0, new Courier.AttemptHistory(8, true, scene.nowUs - ControlFixture.SECOND, "a"));
         assertEquals(0, scene.attemptCount("spent"), "its attempts are used up");
-        resume(scene, "forgotten", 1, new Courier.AttemptHistory(1, true, scene.nowUs - 6 * ControlFixture.SECOND, "a"));
+        resume(
+                scene,
+                "forgotten",
+                1,
+                new Courier.AttemptHistory(1, true, scene.nowUs - 6 * ControlFixture.SECOND, "a"));
         assertEquals(0, scene.attemptCount("forgotten"), "its key may be forgotten");
         resume(scene, "unsafe", 2, new Courier.AttemptHistory(1, true, scene.nowUs - ControlFixture.SECOND, "a"));
         assertEquals(0, scene.attemptCount("unsafe"), "it may have run");
@@ -940,7 +959,8 @@
         return next;
     }
 
-    private static Courier.Message resumed(final ControlFixture scene, final String id, final int kind, final String key) {
+    private static Courier.Message resumed(
+            final ControlFixture scene, final String id, final int kind, final String key) {
         return new Courier.Message(id, kind, -1, key, scene.nowUs + 16 * ControlFixture.SECOND, ControlFixture.DEST);
     }
 
@@ -967,7 +987,8 @@
                 old.endAttempt("m" + count, Courier.Result.RESET);
             }
         }
-        assertTrue(old.control.describe(ControlFixture.DEST).contains("PROBING"), old.control.describe(ControlFixture.DEST));
+        assertTrue(
+                old.control.describe(ControlFixture.DEST).contains("PROBE"), old.control.describe(ControlFixture.DEST));
         final ControlFixture next = after(old, ControlFixture.settings());
         for (int count = 0; count < 5; count++) {
             next.accept("n" + count, 0);
@@ -981,7 +1002,8 @@
         scene.control.onMessageResumed(
                 scene.nowUs,
                 resumed(scene, "m1", 3, "k"),
-                new Courier.AttemptHistory(1, false, 0, "", new Courier.InheritedCall(1, scene.nowUs - ControlFixture.MS)));
+                new Courier.AttemptHistory(
+                        1, false, 0, "", new Courier.InheritedCall(1, scene.nowUs - ControlFixture.MS)));
         scene.accept("m2", 3, "k", 16 * ControlFixture.SECOND);
         scene.accept("m3", 0);
         assertEquals(0, scene.sent.size(), "the only slot is taken");
@@ -995,7 +1017,8 @@
     @Test
     void anUnsafeMessageThatWasCutOffElsewhereFailsAndASafeOneGoesAgain() {
         final ControlFixture scene = ControlFixture.withTwoEndpoints(ControlFixture.settings());
-        final Courier.AttemptHistory out = new Courier.AttemptHistory(1, false, 0, "", new Courier.InheritedCall(1, scene.nowUs - ControlFixture.MS));
+        final Courier.AttemptHistory out = new Courier.AttemptHistory(
+                1, false, 0, "", new Courier.InheritedCall(1, scene.nowUs - ControlFixture.MS));
         scene.control.onMessageResumed(scene.nowUs, resumed(scene, "safe", 0, null), out);
         scene.control.onMessageResumed(scene.nowUs, resumed(scene, "unsafe", 2, null), out);
         scene.control.decide(scene.nowUs);
@@ -1013,8 +1036,11 @@
     @Test
     void whatIsTakenOutByHandGetsNothingWhateverTheListSays() {
         final ControlFixture scene = ControlFixture.withTwoEndpoints(ControlFixture.settings());
-        scene.control.onOperatorOverride(scene.nowUs, 1, true, 0);
-        scene.updateList(Courier.ListUpdate.FULL, ControlFixture.endpoint(1, ControlFixture.DEST, "a"), ControlFixture.endpoint(2, ControlFixture.DEST, "b"));
+        scene.control.onOverride(scene.nowUs, 1, true, 0);
+        scene.updateList(
+                Courier.ListUpdate.FULL,
+                ControlFixture.endpoint(1, ControlFixture.DEST, "a"),
+                ControlFixture.endpoint(2, ControlFixture.DEST, "b"));
         for (int count = 0; count < 6; count++) {
             scene.accept("m" + count, 0);
             scene.advance(ControlFixture.SECOND);
@@ -1028,12 +1054,12 @@
     @Test
     void aDestinationWithAllItsEndpointsOutWaitsUntilOneIsPutBack() {
         final ControlFixture scene = ControlFixture.withTwoEndpoints(ControlFixture.settings());
-        scene.control.onOperatorOverride(scene.nowUs, 1, true, 0);
-        scene.control.onOperatorOverride(scene.nowUs, 2, true, 0);
+        scene.control.onOverride(scene.nowUs, 1, true, 0);
+        scene.control.onOverride(scene.nowUs, 2, true, 0);
         scene.accept("m", 0);
         scene.advance(3 * ControlFixture.SECOND);
         assertEquals(0, scene.sent.size());
-        scene.control.onOperatorOverride(scene.nowUs, 2, false, scene.nowUs);
+        scene.control.onOverride(scene.nowUs, 2, false, scene.nowUs);
         scene.advance(ControlFixture.SECOND);
         assertEquals(2, scene.lastAttempt("m").endpoint());
     }
@@ -1041,11 +1067,13 @@
     @Test
     void whatIsPutBackIsColdAndPacedUntilItIsWarm() {
         final ControlFixture scene = new ControlFixture(ControlFixture.withNominalLimit());
-        scene.updateList(Courier.ListUpdate.CACHED, new Courier.Endpoint(1, Courier.Condition.LISTED, "a", 20, 0, ControlFixture.DEST));
+        scene.updateList(
+                Courier.ListUpdate.CACHED,
+                new Courier.Endpoint(1, Courier.Condition.LISTED, "a", 20, 0, ControlFixture.DEST));
         final int usual = sentIn(scene, "usual");
-        scene.control.onOperatorOverride(scene.nowUs, 1, true, 0);
+        scene.control.onOverride(scene.nowUs, 1, true, 0);
         scene.advance(ControlFixture.SECOND);
-        scene.control.onOperatorOverride(scene.nowUs, 1, false, scene.nowUs);
+        scene.control.onOverride(scene.nowUs, 1, false, scene.nowUs);
         final int cold = sentIn(scene, "cold");
         // The tipping rate of a cold destination in these settings: 2 x 0.2 of its capacity, and chance.
         assertTrue(cold >= 1 && cold <= 0.7 * usual, cold + " of " + usual);
@@ -1076,7 +1104,14 @@
         final ControlFixture scene = new ControlFixture(ControlFixture.settings());
         scene.control.onMessage(
                 scene.nowUs,
-                new Courier.Message("m", 0, -1, null, scene.nowUs + 4 * ControlFixture.SECOND, ControlFixture.DEST, ControlFixture.SECOND));
+                new Courier.Message(
+                        "m",
+                        0,
+                        -1,
+                        null,
+                        scene.nowUs + 4 * ControlFixture.SECOND,
+                        ControlFixture.DEST,
+                        ControlFixture.SECOND));
         scene.control.decide(scene.nowUs);
         scene.advance(3 * ControlFixture.SECOND - 100 * ControlFixture.MS);
         assertEquals(List.of(), scene.refused);
--- a/src/test/java/railspar/DeliveryRulesTest.java
+++ b/src/test/java/railspar/DeliveryRulesTest.java
@@ -4,19 +4,19 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import railspar.Courier.Effect;
-import railspar.Courier.MessageClass;
-import railspar.Courier.AttemptHistory;
-import railspar.Courier.Result;
-import railspar.DeliveryRules.Attempt;
-import railspar.DeliveryRules.Transmission;
-import railspar.DeliveryRules.Violation;
 import java.util.Map;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
+import railspar.Courier.AttemptHistory;
+import railspar.Courier.Effect;
+import railspar.Courier.MessageClass;
+import railspar.Courier.Result;
+import railspar.DeliveryRules.Attempt;
+import railspar.DeliveryRules.Transmission;
+import railspar.DeliveryRules.Violation;
 
 /** Each decision of {@link DeliveryRules}, with every case on either side of it. */
 final class DeliveryRulesTest {
--- a/src/test/java/railspar/DestinationStateTest.java
+++ b/src/test/java/railspar/DestinationStateTest.java
@@ -17,7 +17,8 @@
     @ParameterizedTest
     @ValueSource(ints = {100, 5_000, 20_000, 45_000})
     void stateAndStepsFollowTheDestinationsInUseAndNotTheList(final int listed) {
-        final ControlFixture scene = listing(ControlFixture.withMaxIdleDestinations(ControlFixture.settings(), Integer.MAX_VALUE), listed);
+        final ControlFixture scene =
+                listing(ControlFixture.withMaxIdleDestinations(ControlFixture.settings(), Integer.MAX_VALUE), listed);
         assertEquals(0, scene.control.workload().destinationsWithState());
         for (long destination = 0; destination < IN_USE; destination++) {
             scene.acceptFor("m" + destination, SAFE, destination);
@@ -106,22 +107,29 @@
         assertTrue(visited <= 4 * IN_USE, "visited " + visited + " with " + waiting + " waiting elsewhere");
         scene.advance(15 * ControlFixture.SECOND);
         assertTrue(
-                scene.control.workload().messagesExamined() > before + waiting / 2, "they are sent or ended in the end");
+                scene.control.workload().messagesExamined() > before + waiting / 2,
+                "they are sent or ended in the end");
     }
 
     @Test
     void aSendWeighsTheMessagesOfItsDestinationAnewAndNoOthers() {
         final int destinations = 40;
         final int each = 5;
-        final ControlFixture scene = listing(new ControlFixture(ControlFixture.withMaxOpenMessages(1_000)), destinations);
+        final ControlFixture scene =
+                listing(new ControlFixture(ControlFixture.withMaxOpenMessages(1_000)), destinations);
         for (int message = 0; message < destinations * each; message++) {
             scene.control.onMessage(
                     scene.nowUs,
                     new Courier.Message(
-                            "m" + message, SAFE, -1, null, scene.nowUs + 16 * ControlFixture.SECOND, message % destinations));
+                            "m" + message,
+                            SAFE,
+                            -1,
+                            null,
+                            scene.nowUs + 16 * ControlFixture.SECOND,
+                            message % destinations));
         }
         scene.control.decide(scene.nowUs);
-        final int slots = ControlFixture.settings().limits().maxCallsInFlight();
+        final int slots = ControlFixture.settings().limits().maxCalls();
         assertEquals(slots, scene.sent.size(), "every slot is taken");
         final long atMost = 2L * destinations * each + 2L * slots * each;
         final long visited = scene.control.workload().messagesExamined();
@@ -133,14 +141,15 @@
         final ControlFixture scene = listing(ControlFixture.withMaxIdleDestinations(ControlFixture.settings(), 0), 100);
         scene.acceptFor("down", SAFE, 7);
         for (int failure = 0; failure < 8; failure++) {
-            if (scene.lastAttempt("down").atUs() <= scene.nowUs && scene.attemptCount("down") > scene.endedAttempts("down")) {
+            if (scene.lastAttempt("down").atUs() <= scene.nowUs
+                    && scene.attemptCount("down") > scene.endedAttempts("down")) {
                 scene.endAttempt("down", Courier.Result.NO_CONNECTION);
             }
             scene.advance(2 * ControlFixture.SECOND);
         }
         scene.advance(60 * ControlFixture.SECOND);
         assertEquals(1, scene.control.workload().destinationsWithState());
-        assertTrue(scene.control.describe(7).contains("PROBING"), scene.control.describe(7));
+        assertTrue(scene.control.describe(7).contains("PROBE"), scene.control.describe(7));
     }
 
     @Test
--- a/src/test/java/railspar/FleetRampTest.java
+++ b/src/test/java/railspar/FleetRampTest.java
@@ -67,7 +67,8 @@
     }
 
     private ControlFixture begin(final int index, final int couriers, final long life, final double listed) {
-        final ControlFixture one = new ControlFixture(settings(couriers), ControlFixture.seed(index + 1000 * (int) life));
+        final ControlFixture one =
+                new ControlFixture(settings(couriers), ControlFixture.seed(index + 1000 * (int) life));
         one.updateList(
                 Courier.ListUpdate.FULL,
                 new Courier.Endpoint(1, Courier.Condition.LISTED, "a", listed, 0, ControlFixture.DEST),
@@ -97,7 +98,8 @@
         return atUs < DOWN_US ? 1 : Math.min(1, COLD_FROM + (1 - COLD_FROM) * (atUs - upUs) / COLD_US);
     }
 
-    private void arriveAt(final int index, final ControlFixture one, final long atUs, final double warmth, final boolean hangs) {
+    private void arriveAt(
+            final int index, final ControlFixture one, final long atUs, final double warmth, final boolean hangs) {
         for (int next = seen.getOrDefault(index, 0); next < one.sent.size(); next++) {
             final ControlFixture.Sent send = one.sent.get(next);
             calls.add(new Call(atUs, told.contains(one)));
--- a/src/test/java/railspar/LibraryUseTest.java
+++ b/src/test/java/railspar/LibraryUseTest.java
@@ -16,8 +16,10 @@
         final Courier.Actions actions = transport;
         final Courier control = new Control(ControlFixture.settings(), 7, actions);
         final long nowUs = transport.nowUs;
-        control.onListUpdate(nowUs, Courier.ListUpdate.FULL, List.of(ControlFixture.endpoint(1, ControlFixture.DEST, "a")));
-        control.onMessage(nowUs, new Courier.Message("m", 0, -1, null, nowUs + 16 * ControlFixture.SECOND, ControlFixture.DEST));
+        control.onListUpdate(
+                nowUs, Courier.ListUpdate.FULL, List.of(ControlFixture.endpoint(1, ControlFixture.DEST, "a")));
+        control.onMessage(
+                nowUs, new Courier.Message("m", 0, -1, null, nowUs + 16 * ControlFixture.SECOND, ControlFixture.DEST));
         control.decide(nowUs);
         assertEquals(1, transport.attemptCount("m"));
         control.onOutcome(nowUs + 1, new Courier.Outcome("m", Courier.Result.DELIVERED, true, 1, 1, 0, null));
--- a/src/test/java/railspar/bench/AdapterTest.java
+++ b/src/test/java/railspar/bench/AdapterTest.java
@@ -141,7 +141,7 @@
         assertEquals(5, settings.destinationKinds().get(1).messagesPerCall());
         assertTrue(settings.listOnRequest());
         assertEquals("12", settings.tenants().get(0).name());
-        assertEquals(Integer.MAX_VALUE, settings.limits().maxCallsInFlight());
+        assertEquals(Integer.MAX_VALUE, settings.limits().maxCalls());
         assertEquals(0, settings.ruleParameters().orderingDelayUs());
     }
 }
--- a/src/test/java/railspar/list/EndpointTableTest.java
+++ b/src/test/java/railspar/list/EndpointTableTest.java
@@ -7,7 +7,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import railspar.Courier;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -17,6 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import railspar.Courier;
 
 /** The table and its updates: what is told of each entry, what a change costs, and what a row takes. */
 final class EndpointTableTest {
--- a/src/test/java/railspar/list/ListParserTest.java
+++ b/src/test/java/railspar/list/ListParserTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import railspar.list.ListFormatException.Fault;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -12,6 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import railspar.list.ListFormatException.Fault;
 
 /** Lists in any pieces, in any order of their fields, and in all the ways in which they can be spoilt. */
 final class ListParserTest {
@@ -126,8 +126,7 @@
 
     @Test
     void whatNeverEndsIsRefusedWhereverItGoesOn() {
-        assertEquals(
-                Fault.TOO_LARGE, fault("{\"hosts\":[" + (ONE.replace("e1", "")) + ",5".repeat(500_000), 100_000));
+        assertEquals(Fault.TOO_LARGE, fault("{\"hosts\":[" + (ONE.replace("e1", "")) + ",5".repeat(500_000), 100_000));
         assertEquals(Fault.TOO_LARGE, fault(" ".repeat(900_000), 100_000));
         assertEquals(Fault.TOO_LARGE, fault("{\"x\":[" + "1,".repeat(500_000), 100_000));
         assertEquals(Fault.MALFORMED, fault("{\"x\":\"" + "y".repeat(500_000), 100_000));
@@ -135,7 +134,8 @@
 
     @Test
     void aStagedListOfTheTargetSizeTakesLessThanSixtyBytesAnEntry() throws IOException {
-        final StagedList list = TestLists.parse(TestLists.fleet(1, 45_000)).lists.get(0);
+        final StagedList list =
+                TestLists.parse(TestLists.fleet(1, 45_000)).lists.get(0);
         assertEquals(76_500, list.size());
         assertTrue(list.bytes() < 60L * list.size(), list.bytes() + " bytes");
     }
--- a/src/test/java/railspar/node/CallCrossingsTest.java
+++ b/src/test/java/railspar/node/CallCrossingsTest.java
@@ -89,7 +89,8 @@
         fixture.connectTimeoutUs = 60_000_000;
         fixture.first.script((request, connection) -> connection.reset());
         try (Late late = new Late()) {
-            fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + "," + CourierProcessFixture.hostEntry("e2", late.address(), "Ready");
+            fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + ","
+                    + CourierProcessFixture.hostEntry("e2", late.address(), "Ready");
             fixture.start();
             assertEquals(202, fixture.submit("m1", "brief").status());
             fixture.await("the first attempt, which may have run", () -> fixture.first.requests.size() == 1);
@@ -234,8 +235,8 @@
         warmUp();
         final AtomicBoolean over = new AtomicBoolean();
         final Thread crowd = crowd(over);
-        fixture.await(
-                "that no descriptor is left", () -> fixture.log.stream().anyMatch(line -> line.contains("cannot accept")));
+        fixture.await("that no descriptor is left", () -> fixture.log.stream()
+                .anyMatch(line -> line.contains("cannot accept")));
         // The descriptor of this watch is free for a moment, and the crowd waits for it.
         fixture.watches.get(0).reset();
         fixture.await("another watch", () -> fixture.watches.size() >= 2);
@@ -244,7 +245,8 @@
         fixture.await("its notice", () -> fixture.hasNotice("m1", "undeliverable"));
         over.set(true);
         crowd.join(TimeUnit.SECONDS.toMillis(CourierProcessFixture.TIMEOUT_S));
-        assertFalse(fixture.log.stream().anyMatch(line -> line.contains("IllegalStateException")), fixture.log.toString());
+        assertFalse(
+                fixture.log.stream().anyMatch(line -> line.contains("IllegalStateException")), fixture.log.toString());
     }
 
     @Test
@@ -255,8 +257,8 @@
         warmUp();
         final AtomicBoolean over = new AtomicBoolean();
         final Thread crowd = crowd(over);
-        fixture.await(
-                "that no descriptor is left", () -> fixture.log.stream().anyMatch(line -> line.contains("cannot accept")));
+        fixture.await("that no descriptor is left", () -> fixture.log.stream()
+                .anyMatch(line -> line.contains("cannot accept")));
         final String message = CourierProcessFixture.message("m1", "once").replace("20000", "4000");
         assertEquals(202, fixture.send(message).status());
         fixture.await("its end", () -> fixture.hasNotice("m1", "undeliverable") || fixture.hasNotice("m1", "deferred"));
--- a/src/test/java/railspar/node/ConfigFileTest.java
+++ b/src/test/java/railspar/node/ConfigFileTest.java
@@ -57,7 +57,9 @@
                 read("{\"known\":{\"hosts\":[{\"seq\":9}]}}").configuredList().version());
         assertEquals(
                 9,
-                read("{\"known\":{\"hosts\":[{\"seq\":8}],\"seq\":9}}").configuredList().version());
+                read("{\"known\":{\"hosts\":[{\"seq\":8}],\"seq\":9}}")
+                        .configuredList()
+                        .version());
         assertFalse(read("[]").root().isObject());
     }
 
--- a/src/test/java/railspar/node/CourierProcessFixture.java
+++ b/src/test/java/railspar/node/CourierProcessFixture.java
@@ -286,7 +286,8 @@
         processes.add(process);
         final BufferedReader out =
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-        final Thread reader = new Thread(() -> out.lines().map(CourierProcessFixture::unstamped).forEach(log::add));
+        final Thread reader = new Thread(
+                () -> out.lines().map(CourierProcessFixture::unstamped).forEach(log::add));
         reader.setDaemon(true);
         reader.start();
         return process;
--- a/src/test/java/railspar/node/DiscoveryTest.java
+++ b/src/test/java/railspar/node/DiscoveryTest.java
@@ -6,7 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import railspar.Courier;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -20,6 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
+import railspar.Courier;
 
 /** What the host can ask of the list, with the one of the configuration in force. */
 @Timeout(60)
@@ -45,7 +45,8 @@
         final String text = CONFIG.formatted(
                 folder.resolve("state"),
                 CourierProcessFixture.hostEntry("e1", "127.0.0.1:11", "Ready"),
-                CourierProcessFixture.hostEntry("e2", "127.0.0.1:12", "Terminating").replace("std", "bulk"),
+                CourierProcessFixture.hostEntry("e2", "127.0.0.1:12", "Terminating")
+                        .replace("std", "bulk"),
                 CourierProcessFixture.hostEntry("e3", "127.0.0.1:13", "Ready").replace("\"block\":7", "\"block\":8"));
         final Config config = Config.parse(new ObjectMapper().readTree(text), Map.of());
         host = new MessageService(config, loop, new Clock());
--- a/src/test/java/railspar/node/FailedWriteTest.java
+++ b/src/test/java/railspar/node/FailedWriteTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import railspar.node.FaultPage.Fault;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -17,6 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import railspar.node.FaultPage.Fault;
 
 /**
  * One write on a socket of a real courier fails, on its way to an endpoint or to a client: what that is taken for.
@@ -29,12 +29,16 @@
     void preload() throws IOException, InterruptedException {
         fixture.faults = new FaultPage(folder, folder.resolve("state"));
         fixture.discovery = "pushed";
-        fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + "," + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
+        fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + ","
+                + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
         fixture.start();
     }
 
     private void failSends(final long scope, final int error, final long effect) {
-        fixture.faults.set(Fault.SOCKET_SCOPE, scope).set(Fault.SEND_EFFECT, effect).set(Fault.SEND_ERRNO, error);
+        fixture.faults
+                .set(Fault.SOCKET_SCOPE, scope)
+                .set(Fault.SEND_EFFECT, effect)
+                .set(Fault.SEND_ERRNO, error);
     }
 
     private void awaitLog(final String words) {
@@ -79,14 +83,14 @@
         failSends(FaultPage.CONNECTED_SOCKETS, FaultPage.EIO, FaultPage.ALL_BYTES);
         fixture.signal("CONT");
         for (final Socket client : clients) {
-            assertEquals(202, CourierProcessFixture.read(client.getInputStream()).status());
+            assertEquals(
+                    202, CourierProcessFixture.read(client.getInputStream()).status());
             client.close();
         }
         awaitLog(REQUEST_IN_DOUBT);
         fixture.faults.clear();
-        fixture.await(
-                "their ends",
-                () -> ids.stream().allMatch(id -> fixture.hasNotice(id, "undeliverable") || received(id) > 0 && isDone(id)));
+        fixture.await("their ends", () -> ids.stream()
+                .allMatch(id -> fixture.hasNotice(id, "undeliverable") || received(id) > 0 && isDone(id)));
         ids.forEach(id -> assertTrue(received(id) <= 1, id + " was sent " + received(id) + " times"));
         assertTrue(
                 fixture.log.stream()
--- a/src/test/java/railspar/node/FolderFaultsTest.java
+++ b/src/test/java/railspar/node/FolderFaultsTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import railspar.node.FaultPage.Fault;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -15,6 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import railspar.node.FaultPage.Fault;
 
 /** A real courier whose state folder, sockets or wall clock fail, at a start and while it runs. */
 final class FolderFaultsTest extends AbstractCourierProcessTest {
@@ -36,7 +36,8 @@
         final List<String> ids = new ArrayList<>();
         for (int count = 0; count < EACH; count++) {
             final String id = prefix + count;
-            final String message = CourierProcessFixture.message(id, "safe").replace("X-Timeout-Ms: 20000", "X-Timeout-Ms: " + timeoutMs);
+            final String message = CourierProcessFixture.message(id, "safe")
+                    .replace("X-Timeout-Ms: 20000", "X-Timeout-Ms: " + timeoutMs);
             assertEquals(202, fixture.send(message).status());
             ids.add(id);
         }
@@ -52,11 +53,13 @@
             value = Fault.class,
             names = {"OPEN_ERRNO", "READ_ERRNO", "WRITE_ERRNO", "RENAME_ERRNO", "TRUNCATE_ERRNO", "UNLINK_ERRNO"})
     void aStartWaitsUntilTheFolderCanBeUsedAndLosesNothing(final Fault fault) throws Exception {
-        fixture.firstWatchLine = CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating"));
+        fixture.firstWatchLine =
+                CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating"));
         fixture.start();
         final List<String> ids = takeOn("m", 20_000);
         fixture.kill();
-        fixture.firstWatchLine = CourierProcessFixture.listLine(43, CourierProcessFixture.hostEntry("e1", fixture.first, "Ready"));
+        fixture.firstWatchLine =
+                CourierProcessFixture.listLine(43, CourierProcessFixture.hostEntry("e1", fixture.first, "Ready"));
         fixture.faults.set(fault, FaultPage.EIO).set(Fault.WRITE_EFFECT, FaultPage.NO_BYTES);
         final Process process = fixture.launch();
         TimeUnit.MILLISECONDS.sleep(FAULT_MS);
@@ -81,12 +84,14 @@
     @ParameterizedTest
     @ValueSource(ints = {HOUR_S, -HOUR_S})
     void messagesKeepTheirTimeThoughTheWallClockIsSteppedWhileNoProcessRuns(final int stepS) throws Exception {
-        fixture.firstWatchLine = CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating"));
+        fixture.firstWatchLine =
+                CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating"));
         fixture.start();
         final List<String> ids = takeOn("m", 20_000);
         fixture.kill();
         fixture.faults.set(Fault.CLOCK_STEP_S, stepS);
-        fixture.firstWatchLine = CourierProcessFixture.listLine(43, CourierProcessFixture.hostEntry("e1", fixture.first, "Ready"));
+        fixture.firstWatchLine =
+                CourierProcessFixture.listLine(43, CourierProcessFixture.hostEntry("e1", fixture.first, "Ready"));
         fixture.start();
         fixture.await("a call for each", () -> Set.copyOf(fixture.first.ids()).containsAll(ids));
         assertEquals(List.of(), fixture.notices);
@@ -95,7 +100,8 @@
     @ParameterizedTest
     @ValueSource(ints = {HOUR_S, -HOUR_S})
     void messagesEndInTimeThoughTheWallClockIsSteppedWhileNoProcessRuns(final int stepS) throws Exception {
-        fixture.firstWatchLine = CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating"));
+        fixture.firstWatchLine =
+                CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating"));
         fixture.start();
         final List<String> ids = takeOn("m", 6_000);
         final long takenNs = System.nanoTime();
@@ -110,13 +116,15 @@
 
     @Test
     void whatWasRefusedAsItsWriteFailedIsNotSentByTheNextProcess() throws Exception {
-        fixture.firstWatchLine = CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating"));
+        fixture.firstWatchLine =
+                CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating"));
         fixture.start();
         fixture.faults.set(Fault.WRITE_EFFECT, FaultPage.ALL_BYTES).set(Fault.WRITE_ERRNO, FaultPage.EIO);
         final int status = fixture.submit("doubtful", "safe").status();
         fixture.kill();
         fixture.faults.clear();
-        fixture.firstWatchLine = CourierProcessFixture.listLine(43, CourierProcessFixture.hostEntry("e1", fixture.first, "Ready"));
+        fixture.firstWatchLine =
+                CourierProcessFixture.listLine(43, CourierProcessFixture.hostEntry("e1", fixture.first, "Ready"));
         fixture.start();
         assertEquals(202, fixture.submit("marker", "safe").status());
         fixture.await("the call", () -> fixture.first.ids().contains("marker"));
@@ -152,7 +160,9 @@
         final String body = "x".repeat(8000);
         final List<String> accepted = new ArrayList<>();
         for (int count = 0; count < 100; count++) {
-            if (fixture.send(CourierProcessFixture.message("m" + count, "safe", body)).status() == 202) {
+            if (fixture.send(CourierProcessFixture.message("m" + count, "safe", body))
+                            .status()
+                    == 202) {
                 accepted.add("m" + count);
             }
         }
@@ -166,12 +176,14 @@
         fixture.first.script((request, connection) -> connection.accept(request));
         final int before = fixture.first.ids().size();
         fixture.start();
-        fixture.await("its next call", () -> fixture.first.ids().stream().skip(before).anyMatch("kept"::equals));
+        fixture.await(
+                "its next call", () -> fixture.first.ids().stream().skip(before).anyMatch("kept"::equals));
     }
 
     @Test
     void anEndThatCannotBeRecordedIsToldInTimeAllTheSame() throws Exception {
-        fixture.firstWatchLine = CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating"));
+        fixture.firstWatchLine =
+                CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating"));
         fixture.start();
         final long takenNs = System.nanoTime();
         final List<String> ids = takeOn("m", 3_000);
@@ -187,7 +199,8 @@
             names = {"OPEN_ERRNO", "WRITE_ERRNO", "RENAME_ERRNO"})
     void aDrainThatCameWhileTheFolderFailedIsKnownToTheNextProcessThoughDiscoveryIsDown(final Fault fault)
             throws Exception {
-        fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + "," + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
+        fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + ","
+                + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
         fixture.start();
         fixture.faults.set(fault, FaultPage.EIO);
         fixture.sendListChange(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating"));
--- a/src/test/java/railspar/node/HandoverTest.java
+++ b/src/test/java/railspar/node/HandoverTest.java
@@ -36,11 +36,15 @@
     void aCallThatIsOutGoesOnAndTheNextOfItsKeyWaitsForItAcrossTheTwo() throws IOException, InterruptedException {
         silentTo(fixture.first, "m1");
         fixture.start();
-        assertEquals(202, fixture.send(CourierProcessFixture.orderedMessage("m1", "k")).status());
+        assertEquals(
+                202,
+                fixture.send(CourierProcessFixture.orderedMessage("m1", "k")).status());
         fixture.await("the call", () -> fixture.first.requests.size() == 1);
         final Process old = fixture.startSuccessor();
         fixture.endOldProcess(old, false);
-        assertEquals(202, fixture.send(CourierProcessFixture.orderedMessage("m2", "k")).status());
+        assertEquals(
+                202,
+                fixture.send(CourierProcessFixture.orderedMessage("m2", "k")).status());
         assertEquals(202, fixture.submit("m3", "safe").status());
         fixture.await("another one's call", () -> fixture.first.ids().contains("m3"));
         assertEquals(List.of("m1", "m3"), fixture.first.ids(), "the key is taken");
@@ -110,13 +114,19 @@
         silentTo(fixture.first, "m1");
         fixture.start();
         final Socket kept = fixture.connect();
-        assertEquals(202, CourierProcessFixture.send(kept, CourierProcessFixture.orderedMessage("m1", "k")).status());
+        assertEquals(
+                202,
+                CourierProcessFixture.send(kept, CourierProcessFixture.orderedMessage("m1", "k"))
+                        .status());
         fixture.await("the call", () -> fixture.first.requests.size() == 1);
         fixture.endOldProcess(fixture.startSuccessor(), false);
-        final CourierProcessFixture.Answer late = CourierProcessFixture.send(kept, CourierProcessFixture.orderedMessage("m2", "k"));
+        final CourierProcessFixture.Answer late =
+                CourierProcessFixture.send(kept, CourierProcessFixture.orderedMessage("m2", "k"));
         assertEquals(202, late.status());
         assertTrue(late.head().contains("connection: close"), "and the client is sent to the new one");
-        assertEquals(202, fixture.send(CourierProcessFixture.orderedMessage("m3", "k")).status());
+        assertEquals(
+                202,
+                fixture.send(CourierProcessFixture.orderedMessage("m3", "k")).status());
         fixture.first.requests.get(0).connection().answer(200, "");
         fixture.await("all of them", () -> fixture.first.ids().size() == 3);
         assertEquals(List.of("m1", "m2", "m3"), fixture.first.ids(), "in the order taken, by whichever process");
@@ -126,7 +136,10 @@
     void anIdleConnectionIsClosedAndTheOldOneEndsBeforeTheKill() throws IOException, InterruptedException {
         fixture.start();
         final Socket idle = fixture.connect();
-        assertEquals(202, CourierProcessFixture.send(idle, CourierProcessFixture.message("m1", "safe")).status());
+        assertEquals(
+                202,
+                CourierProcessFixture.send(idle, CourierProcessFixture.message("m1", "safe"))
+                        .status());
         final Process old = fixture.startSuccessor();
         fixture.endOldProcess(old, false);
         assertEquals(-1, idle.getInputStream().read());
@@ -136,7 +149,8 @@
     @Test
     void aCallToEitherProcessHoldsForBoth() throws IOException {
         fixture.hasOperatorAddress = true;
-        fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + "," + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
+        fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + ","
+                + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
         fixture.start();
         final Process old = fixture.startSuccessor();
         assertEquals("+OK\n", fixture.operatorCommand("OFFLINE e1"), "the new one, which only stands by, was called");
@@ -187,7 +201,8 @@
                 client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(CourierProcessFixture.TIMEOUT_S));
                 assertEquals(
                         200,
-                        CourierProcessFixture.send(client, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status());
+                        CourierProcessFixture.send(client, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
+                                .status());
             }
             assertNull(shared.accept(), "it was accepted already");
             loop.submit(() -> intake.handOver()).sync();
@@ -195,7 +210,8 @@
                 client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(CourierProcessFixture.TIMEOUT_S));
                 assertEquals(
                         200,
-                        CourierProcessFixture.send(client, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status(),
+                        CourierProcessFixture.send(client, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
+                                .status(),
                         "nobody waits while the other process is not at the door yet");
             }
             loop.submit(() -> intake.stopAccepting()).sync();
--- a/src/test/java/railspar/node/JournalSlope.java
+++ b/src/test/java/railspar/node/JournalSlope.java
@@ -1,9 +1,5 @@
 package railspar.node;
 
-import railspar.scale.slope.HeapUse;
-import railspar.scale.slope.ProcessorTime;
-import railspar.scale.slope.Series;
-import railspar.scale.slope.SlopeCommand;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.Files;
@@ -13,6 +9,10 @@
 import java.util.function.ToDoubleFunction;
 import java.util.stream.Stream;
 import picocli.CommandLine;
+import railspar.scale.slope.HeapUse;
+import railspar.scale.slope.ProcessorTime;
+import railspar.scale.slope.Series;
+import railspar.scale.slope.SlopeCommand;
 
 /**
  * The {@code journal} slope: bytes, processor time and heap of the journal against the messages it holds. It stands
@@ -87,7 +87,8 @@
                 final String id = String.format("%016x", index);
                 final byte[] body = new byte[BODY_BYTES];
                 if (!JournalTest.takes(
-                        journal, new AcceptedMessage(id, "notice", null, null, index % DESTINATIONS, FOREVER_US, body))) {
+                        journal,
+                        new AcceptedMessage(id, "notice", null, null, index % DESTINATIONS, FOREVER_US, body))) {
                     throw new IllegalStateException("message " + index + " was not taken");
                 }
             }
--- a/src/test/java/railspar/node/JournalTest.java
+++ b/src/test/java/railspar/node/JournalTest.java
@@ -5,7 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import railspar.Courier;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -15,6 +14,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import railspar.Courier;
 
 /** What outlasts the process, and what a kill in the middle of a write leaves of it. */
 final class JournalTest {
@@ -41,7 +41,8 @@
     @Test
     void keepsWhatIsOwedAndForgetsWhatIsOver() throws IOException {
         try (Journal journal = Journal.open(folder, DISK_BYTES)) {
-            final AcceptedMessage sent = new AcceptedMessage("sent", "keyed", "k", "team-1", 7, 5_000_000, new byte[] {1, 2, 3});
+            final AcceptedMessage sent =
+                    new AcceptedMessage("sent", "keyed", "k", "team-1", 7, 5_000_000, new byte[] {1, 2, 3});
             final AcceptedMessage over = held("over", 3);
             final AcceptedMessage ended = held("ended", 3);
             Stream.of(sent, over, ended).forEach(one -> assertTrue(takes(journal, one)));
@@ -176,8 +177,9 @@
             while (takes(journal, held("m0" + taken, 1000))) {
                 taken++;
             }
-            final long expected =
-                    journal.openMessages().stream().mapToLong(MemoryBudget::bytesOf).sum();
+            final long expected = journal.openMessages().stream()
+                    .mapToLong(MemoryBudget::bytesOf)
+                    .sum();
             assertEquals(expected, memory.usedBytes());
         }
     }
--- a/src/test/java/railspar/node/MemoryCrossingsTest.java
+++ b/src/test/java/railspar/node/MemoryCrossingsTest.java
@@ -59,7 +59,9 @@
         final int resumed = taken;
         fixture.killAndRestart();
         assertEquals(200, up());
-        assertTrue(fixture.log.stream().anyMatch(line -> line.equals("resumed " + resumed + " messages")), "" + fixture.log);
+        assertTrue(
+                fixture.log.stream().anyMatch(line -> line.equals("resumed " + resumed + " messages")),
+                "" + fixture.log);
         assertEquals(503, fixture.send(message(HANDED_IN)).status(), "it is as full as before");
         assertEquals(
                 0,
@@ -75,12 +77,13 @@
             final long validUntilUs = (System.currentTimeMillis() + 60_000) * 1000;
             final byte[] body = "x".repeat(BODY_BYTES).getBytes(StandardCharsets.ISO_8859_1);
             for (int index = 0; index < fits; index++) {
-                assertTrue(
-                        JournalTest.takes(journal, new AcceptedMessage("m" + index, "safe", null, null, 7, validUntilUs, body)));
+                assertTrue(JournalTest.takes(
+                        journal, new AcceptedMessage("m" + index, "safe", null, null, 7, validUntilUs, body)));
             }
         }
         fixture.start();
-        assertTrue(fixture.log.stream().anyMatch(line -> line.equals("resumed " + fits + " messages")), "" + fixture.log);
+        assertTrue(
+                fixture.log.stream().anyMatch(line -> line.equals("resumed " + fits + " messages")), "" + fixture.log);
         assertTrue(fixture.log.stream().anyMatch(line -> line.contains("nothing new is taken on")), "" + fixture.log);
         assertEquals(503, fixture.submit("late", "safe").status());
         assertEquals(200, up());
--- a/src/test/java/railspar/node/NodeTest.java
+++ b/src/test/java/railspar/node/NodeTest.java
@@ -29,7 +29,8 @@
         assertEquals(200, fixture.send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status());
         assertEquals(
                 202,
-                fixture.send(CourierProcessFixture.message("m1", "keyed", "\u00ff\u0000 any bytes")).status());
+                fixture.send(CourierProcessFixture.message("m1", "keyed", "\u00ff\u0000 any bytes"))
+                        .status());
         fixture.await("the call", () -> fixture.first.requests.size() == 1);
         final FakeServer.Request call = fixture.first.requests.get(0);
         assertEquals("POST /inbox HTTP/1.1", call.line());
@@ -105,7 +106,8 @@
         fixture.await("the call", () -> fixture.first.requests.size() == 1);
         final long calledNs = fixture.first.requests.get(0).atNs();
         fixture.kill();
-        fixture.await("the key's window to pass", () -> System.nanoTime() - calledNs > TimeUnit.MILLISECONDS.toNanos(400));
+        fixture.await(
+                "the key's window to pass", () -> System.nanoTime() - calledNs > TimeUnit.MILLISECONDS.toNanos(400));
         fixture.start();
         fixture.await("its notice", () -> fixture.hasNotice("m1", "deferred"));
         assertTrue(fixture.hasNotice("m1", "again_ms"), "it tells when to come again: " + fixture.notices);
@@ -149,7 +151,10 @@
         fixture.first.script((request, connection) -> {});
         fixture.start();
         final Socket idle = fixture.connect();
-        assertEquals(202, CourierProcessFixture.send(idle, CourierProcessFixture.message("m1", "safe")).status());
+        assertEquals(
+                202,
+                CourierProcessFixture.send(idle, CourierProcessFixture.message("m1", "safe"))
+                        .status());
         fixture.await("the call", () -> fixture.first.requests.size() == 1);
         final long termNs = System.nanoTime();
         final Process ending = fixture.terminate();
@@ -164,12 +169,10 @@
         fixture.first.script((request, connection) -> connection.accept(request));
         final int before = fixture.first.requests.size();
         fixture.start();
-        fixture.await(
-                "what was held goes on",
-                () -> fixture.first.ids().stream()
-                        .skip(before)
-                        .collect(Collectors.toSet())
-                        .containsAll(List.of("m1", "m2")));
+        fixture.await("what was held goes on", () -> fixture.first.ids().stream()
+                .skip(before)
+                .collect(Collectors.toSet())
+                .containsAll(List.of("m1", "m2")));
     }
 
     // ---------------------------------------------------------------- calls
@@ -285,8 +288,13 @@
         fixture.start();
         assertEquals(
                 202,
-                fixture.send(CourierProcessFixture.orderedMessage("m1", "team-1").replace("20000", "10000")).status());
-        assertEquals(202, fixture.send(CourierProcessFixture.orderedMessage("m2", "team-1")).status());
+                fixture.send(CourierProcessFixture.orderedMessage("m1", "team-1")
+                                .replace("20000", "10000"))
+                        .status());
+        assertEquals(
+                202,
+                fixture.send(CourierProcessFixture.orderedMessage("m2", "team-1"))
+                        .status());
         fixture.await("the next of its key", () -> fixture.first.ids().contains("m2"));
         assertTrue(fixture.notices.isEmpty(), "the first was delivered: " + fixture.notices);
     }
@@ -297,10 +305,14 @@
         fixture.start();
         assertEquals(
                 202,
-                fixture.send(CourierProcessFixture.orderedMessage("m1", "team-1").replace("20000", "10000")).status());
+                fixture.send(CourierProcessFixture.orderedMessage("m1", "team-1")
+                                .replace("20000", "10000"))
+                        .status());
         assertEquals(
                 202,
-                fixture.send(CourierProcessFixture.orderedMessage("m2", "team-1").replace("20000", "5000")).status());
+                fixture.send(CourierProcessFixture.orderedMessage("m2", "team-1")
+                                .replace("20000", "5000"))
+                        .status());
         fixture.await("the next of its key", () -> fixture.first.ids().contains("m2"));
         assertTrue(fixture.notices.isEmpty(), "the first was delivered: " + fixture.notices);
     }
@@ -319,7 +331,8 @@
     @Test
     void aToldWaitBindsTheWholeDestination() throws IOException {
         final long waitMs = 1500;
-        fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + "," + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
+        fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + ","
+                + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
         final List<Long> toldNs = new ArrayList<>();
         final List<Long> laterNs = new ArrayList<>();
         final var script =
@@ -352,7 +365,9 @@
         fixture.first.script((request, connection) -> {});
         fixture.start();
         assertEquals(
-                202, fixture.send(CourierProcessFixture.message("m1", "once").replace("20000", "400")).status());
+                202,
+                fixture.send(CourierProcessFixture.message("m1", "once").replace("20000", "400"))
+                        .status());
         fixture.await("the call", () -> fixture.first.requests.size() == 1);
         final FakeServer.Connection given = fixture.first.connections.get(0);
         fixture.await("the call to be given up", () -> given.ended);
@@ -385,12 +400,14 @@
         assertEquals(202, fixture.submit("long", "once").status());
         assertEquals(
                 202,
-                fixture.send(CourierProcessFixture.message("short", "safe").replace("20000", "6000")).status());
+                fixture.send(CourierProcessFixture.message("short", "safe").replace("20000", "6000"))
+                        .status());
         fixture.await("its notice", () -> fixture.hasNotice("short", "deferred"));
         assertFalse(fixture.hasNotice("long", "undeliverable"), "its call still goes on");
         assertEquals(1, fixture.first.ids().stream().filter("short"::equals).count());
         assertTrue(
-                fixture.first.requests.stream().anyMatch(request -> request.ids().containsAll(List.of("long", "short"))),
+                fixture.first.requests.stream()
+                        .anyMatch(request -> request.ids().containsAll(List.of("long", "short"))),
                 "the two went in one call: " + fixture.first.ids());
     }
 
@@ -405,7 +422,8 @@
         }
         assertEquals(
                 202,
-                fixture.send(CourierProcessFixture.message("short", "once").replace("20000", "10000")).status());
+                fixture.send(CourierProcessFixture.message("short", "once").replace("20000", "10000"))
+                        .status());
         assertEquals(202, fixture.submit("long", "once").status());
         assertEquals(
                 202,
@@ -416,7 +434,8 @@
         }
         fixture.await("the shared call", () -> fixture.first.ids().size() == 5);
         assertEquals(
-                List.of("long", "middle", "short"), fixture.first.requests.get(2).ids());
+                List.of("long", "middle", "short"),
+                fixture.first.requests.get(2).ids());
     }
 
     @Test
@@ -435,8 +454,12 @@
         }
         assertEquals(202, fixture.submit("long", "once").status());
         assertEquals(
-                202, fixture.send(CourierProcessFixture.orderedMessage("m1", "k").replace("20000", "4000")).status());
-        assertEquals(202, fixture.send(CourierProcessFixture.orderedMessage("m2", "k")).status());
+                202,
+                fixture.send(CourierProcessFixture.orderedMessage("m1", "k").replace("20000", "4000"))
+                        .status());
+        assertEquals(
+                202,
+                fixture.send(CourierProcessFixture.orderedMessage("m2", "k")).status());
         for (final FakeServer.Request request : List.copyOf(fixture.first.requests)) {
             request.connection().accept(request);
         }
@@ -485,7 +508,9 @@
         assertTrue(
                 bulks.get(0).text().contains("\"body\":\"aGVsbG8=\""),
                 bulks.get(0).text());
-        fixture.await("an end for the one said to be over, which does no harm", () -> fixture.hasNotice("old", "undeliverable"));
+        fixture.await(
+                "an end for the one said to be over, which does no harm",
+                () -> fixture.hasNotice("old", "undeliverable"));
         assertEquals(2, fixture.notices.size(), "those and no others: " + fixture.notices);
     }
 
@@ -493,9 +518,18 @@
     void messagesOfOneKeyGoOneAtATimeInTheOrderHandedIn() throws IOException {
         fixture.first.script((request, connection) -> {});
         fixture.start();
-        assertEquals(202, fixture.send(CourierProcessFixture.orderedMessage("m1", "team-1")).status());
-        assertEquals(202, fixture.send(CourierProcessFixture.orderedMessage("m2", "team-1")).status());
-        assertEquals(202, fixture.send(CourierProcessFixture.orderedMessage("other", "team-2")).status());
+        assertEquals(
+                202,
+                fixture.send(CourierProcessFixture.orderedMessage("m1", "team-1"))
+                        .status());
+        assertEquals(
+                202,
+                fixture.send(CourierProcessFixture.orderedMessage("m2", "team-1"))
+                        .status());
+        assertEquals(
+                202,
+                fixture.send(CourierProcessFixture.orderedMessage("other", "team-2"))
+                        .status());
         fixture.await("the other key's call", () -> fixture.first.ids().contains("other"));
         assertEquals(List.of("m1", "other"), fixture.first.ids(), "the second of a key waits for the first");
         fixture.first.script((request, connection) -> connection.accept(request));
@@ -515,13 +549,25 @@
             }
         });
         fixture.start();
-        assertEquals(202, fixture.send(CourierProcessFixture.orderedMessage("m1", "team-1")).status());
+        assertEquals(
+                202,
+                fixture.send(CourierProcessFixture.orderedMessage("m1", "team-1"))
+                        .status());
         fixture.await("its notice", () -> fixture.hasNotice("m1", "undeliverable"));
-        assertEquals(202, fixture.send(CourierProcessFixture.orderedMessage("m2", "team-1")).status());
-        assertEquals(202, fixture.send(CourierProcessFixture.orderedMessage("o1", "team-2")).status());
+        assertEquals(
+                202,
+                fixture.send(CourierProcessFixture.orderedMessage("m2", "team-1"))
+                        .status());
+        assertEquals(
+                202,
+                fixture.send(CourierProcessFixture.orderedMessage("o1", "team-2"))
+                        .status());
         fixture.await("the other key's call", () -> fixture.first.ids().contains("o1"));
         fixture.killAndRestart();
-        assertEquals(202, fixture.send(CourierProcessFixture.orderedMessage("o2", "team-3")).status());
+        assertEquals(
+                202,
+                fixture.send(CourierProcessFixture.orderedMessage("o2", "team-3"))
+                        .status());
         fixture.await("another key's call", () -> fixture.first.ids().contains("o2"));
         assertFalse(fixture.first.ids().contains("m2"), "the message before it is not over");
         fixture.noticeStatus = 204;
@@ -531,8 +577,11 @@
     @Test
     void aMessageThatMustKeepAnOrderAndTellsNoKeyIsNotTaken() throws IOException {
         fixture.start();
-        assertEquals(404, fixture.send(CourierProcessFixture.message("m1", "turn")).status());
-        assertEquals(404, fixture.send(CourierProcessFixture.orderedMessage("m1", "")).status());
+        assertEquals(
+                404, fixture.send(CourierProcessFixture.message("m1", "turn")).status());
+        assertEquals(
+                404,
+                fixture.send(CourierProcessFixture.orderedMessage("m1", "")).status());
     }
 
     @Test
@@ -540,12 +589,10 @@
         fixture.first.script((request, connection) -> connection.reset());
         fixture.start();
         assertEquals(202, fixture.submit("m1", "once").status());
-        fixture.await(
-                "its line",
-                () -> fixture.log.stream()
-                        .anyMatch(line -> line.startsWith("message m1 once to 7 failed")
-                                && line.contains("1 attempts")
-                                && line.contains("last RESET")));
+        fixture.await("its line", () -> fixture.log.stream()
+                .anyMatch(line -> line.startsWith("message m1 once to 7 failed")
+                        && line.contains("1 attempts")
+                        && line.contains("last RESET")));
     }
 
     @Test
@@ -557,7 +604,8 @@
         fixture.await("a full window", () -> fixture.first.requests.size() == 2);
         assertEquals(
                 202,
-                fixture.send(CourierProcessFixture.message("short", "once").replace("20000", "3000")).status());
+                fixture.send(CourierProcessFixture.message("short", "once").replace("20000", "3000"))
+                        .status());
         assertEquals(202, fixture.submit("long", "once").status());
         fixture.first.requests.get(0).connection().answer(200, "");
         fixture.await("the call of several", () -> fixture.first.requests.size() == 3);
@@ -574,22 +622,26 @@
 
     @Test
     void nothingNewGoesToAnEndpointThatDrains() throws IOException {
-        fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + "," + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
+        fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + ","
+                + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
         fixture.start();
         fixture.await("the watch", () -> !fixture.watches.isEmpty());
         // In pieces: a line may come in several reads.
-        final String line =
-                "{\"seq\":42,\"whole\":false,\"hosts\":[" + CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating") + "]}\n";
+        final String line = "{\"seq\":42,\"whole\":false,\"hosts\":["
+                + CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating") + "]}\n";
         fixture.watches.get(0).chunk(line.substring(0, 30));
         fixture.watches.get(0).chunk(line.substring(30));
         fixture.sendListChange(43, CourierProcessFixture.hostEntry("e3", fixture.first, "Gone"));
         assertEquals(202, fixture.submit("warm", "safe").status());
-        fixture.await("the news to have been read", () -> fixture.second.requests.size() + fixture.first.requests.size() == 1);
+        fixture.await(
+                "the news to have been read",
+                () -> fixture.second.requests.size() + fixture.first.requests.size() == 1);
         final int before = fixture.first.requests.size();
         for (int round = 0; round < 6; round++) {
             final int calls = round + 2;
             assertEquals(202, fixture.submit("m" + round, "safe").status());
-            fixture.await("call " + calls, () -> fixture.second.requests.size() + fixture.first.requests.size() == calls);
+            fixture.await(
+                    "call " + calls, () -> fixture.second.requests.size() + fixture.first.requests.size() == calls);
         }
         assertEquals(before, fixture.first.requests.size());
     }
@@ -605,10 +657,15 @@
         fixture.await("a call", () -> !fixture.first.requests.isEmpty());
         fixture.kill();
         final int before = fixture.first.requests.size();
-        fixture.firstWatchLine = CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating") + "," + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready"));
+        fixture.firstWatchLine = CourierProcessFixture.listLine(
+                42,
+                CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating") + ","
+                        + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready"));
         fixture.start();
-        fixture.await("what was held goes elsewhere", () -> fixture.second.ids().containsAll(List.of("m0", "m1", "m2")));
-        assertEquals(before, fixture.first.requests.size(), "nothing new went to the endpoint that drains: " + fixture.log);
+        fixture.await(
+                "what was held goes elsewhere", () -> fixture.second.ids().containsAll(List.of("m0", "m1", "m2")));
+        assertEquals(
+                before, fixture.first.requests.size(), "nothing new went to the endpoint that drains: " + fixture.log);
     }
 
     @Test
@@ -617,7 +674,9 @@
         fixture.firstWatchLine = "";
         fixture.start();
         assertEquals(202, fixture.submit("m1", "safe").status());
-        fixture.await("the call, by the list that was known", () -> fixture.first.ids().contains("m1"));
+        fixture.await(
+                "the call, by the list that was known",
+                () -> fixture.first.ids().contains("m1"));
     }
 
     /** What is done while an endpoint takes no connection up, and tells nobody. */
@@ -653,7 +712,10 @@
             fixture.start();
             fixture.await("the watch", () -> !fixture.watches.isEmpty());
             assertEquals(202, fixture.submit("m1", "once").status());
-            fixture.sendListChange(42, CourierProcessFixture.hostEntry("e1", address, "Terminating") + "," + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready"));
+            fixture.sendListChange(
+                    42,
+                    CourierProcessFixture.hostEntry("e1", address, "Terminating") + ","
+                            + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready"));
             fixture.await(
                     "a call elsewhere, long before the connection gives up",
                     () -> fixture.second.ids().contains("m1"));
@@ -668,7 +730,8 @@
             fixture.start();
             assertEquals(
                     202,
-                    fixture.send(CourierProcessFixture.message("m1", "once").replace("20000", "2000")).status());
+                    fixture.send(CourierProcessFixture.message("m1", "once").replace("20000", "2000"))
+                            .status());
             fixture.await("its notice", () -> fixture.notices.stream().anyMatch(line -> line.contains("\"m1\"")));
             assertTrue(fixture.hasNotice("m1", "deferred"), "it may come again: " + fixture.notices);
         });
@@ -694,7 +757,10 @@
         fixture.discovery = "pushed";
         fixture.start();
         fixture.await("the watch", () -> fixture.watches.size() == 1);
-        fixture.sendListChange(42, CourierProcessFixture.hostEntry("e2", fixture.second, "Ready") + "," + CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating"));
+        fixture.sendListChange(
+                42,
+                CourierProcessFixture.hostEntry("e2", fixture.second, "Ready") + ","
+                        + CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating"));
         fixture.await("the change", () -> fixture.log.stream().anyMatch(line -> line.startsWith("the list at 42")));
         assertEquals(202, fixture.submit("m1", "safe").status());
         fixture.await("the call", () -> fixture.second.requests.size() == 1);
@@ -718,14 +784,11 @@
                     moved.requests.get(0).line().contains("after=41"),
                     moved.requests.get(0).line());
             assertEquals(202, fixture.submit("m2", "once").status());
-            fixture.await(
-                    "a notice to the new address",
-                    () -> moved.requests.stream()
-                            .anyMatch(request -> request.line().startsWith("POST")
-                                    && request.text().contains("m2")));
-            fixture.await(
-                    "the old connections' end",
-                    () -> fixture.platform.connections.stream().allMatch(one -> one.ended));
+            fixture.await("a notice to the new address", () -> moved.requests.stream()
+                    .anyMatch(request ->
+                            request.line().startsWith("POST") && request.text().contains("m2")));
+            fixture.await("the old connections' end", () -> fixture.platform.connections.stream()
+                    .allMatch(one -> one.ended));
         }
         assertTrue(fixture.isAlive());
     }
@@ -824,9 +887,15 @@
         }
         final Socket silent = fixture.connect();
         final Socket asker = fixture.connect();
-        assertEquals(200, CourierProcessFixture.send(asker, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status());
+        assertEquals(
+                200,
+                CourierProcessFixture.send(asker, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
+                        .status());
         final Socket used = fixture.connect();
-        assertEquals(202, CourierProcessFixture.send(used, CourierProcessFixture.message("m1", "safe")).status());
+        assertEquals(
+                202,
+                CourierProcessFixture.send(used, CourierProcessFixture.message("m1", "safe"))
+                        .status());
         used.getOutputStream().write("POST /sa".getBytes(java.nio.charset.StandardCharsets.ISO_8859_1));
         peers.add(used);
         for (final Socket peer : peers) {
@@ -849,8 +918,14 @@
         final CourierProcessFixture.Answer refused = fixture.send(message);
         assertEquals(503, refused.status());
         assertTrue(refused.head().contains("retry-after"), refused.head());
-        fixture.sendListChange(42, CourierProcessFixture.hostEntry("e2", fixture.second, "Ready").replace("\"block\":7", "\"block\":70000"));
-        fixture.sendListChange(43, CourierProcessFixture.hostEntry("e2", fixture.second, "Gone").replace("\"block\":7", "\"block\":70000"));
+        fixture.sendListChange(
+                42,
+                CourierProcessFixture.hostEntry("e2", fixture.second, "Ready")
+                        .replace("\"block\":7", "\"block\":70000"));
+        fixture.sendListChange(
+                43,
+                CourierProcessFixture.hostEntry("e2", fixture.second, "Gone")
+                        .replace("\"block\":7", "\"block\":70000"));
         fixture.await("the news", () -> fixture.log.stream().anyMatch(line -> line.startsWith("the list at 43")));
         assertEquals(202, fixture.send(message).status(), "named once, it may have endpoints again");
         assertEquals(0, fixture.first.requests.size());
@@ -860,7 +935,9 @@
     void theLargestBodyIsTaken() throws IOException {
         fixture.start();
         assertEquals(
-                202, fixture.send(CourierProcessFixture.message("m1", "safe", "x".repeat(1 << 16))).status());
+                202,
+                fixture.send(CourierProcessFixture.message("m1", "safe", "x".repeat(1 << 16)))
+                        .status());
         fixture.await("the call", () -> fixture.first.requests.size() == 1);
         assertEquals(1 << 16, fixture.first.requests.get(0).body().length);
     }
@@ -869,11 +946,13 @@
     void requestsThatComeTogetherAreAnsweredInTheirOrder() throws IOException {
         fixture.start();
         try (Socket socket = fixture.connect()) {
-            final String three =
-                    CourierProcessFixture.message("m1", "safe") + "GET /up HTTP/1.1\r\nHost: x\r\n\r\n" + CourierProcessFixture.message("m2", "unheard");
+            final String three = CourierProcessFixture.message("m1", "safe") + "GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
+                    + CourierProcessFixture.message("m2", "unheard");
             assertEquals(202, CourierProcessFixture.send(socket, three).status());
-            assertEquals(200, CourierProcessFixture.read(socket.getInputStream()).status());
-            assertEquals(404, CourierProcessFixture.read(socket.getInputStream()).status());
+            assertEquals(
+                    200, CourierProcessFixture.read(socket.getInputStream()).status());
+            assertEquals(
+                    404, CourierProcessFixture.read(socket.getInputStream()).status());
         }
     }
 
@@ -939,14 +1018,17 @@
         fixture.await("the watch", () -> fixture.watches.size() == 1);
         fixture.sendListChange(
                 42,
-                CourierProcessFixture.hostEntry("e9", fixture.second, "Unwell") + ",{\"host\":\"e7\"},17," + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready")
-                        + "," + CourierProcessFixture.hostEntry("e1", "nowhere", "Terminating"));
+                CourierProcessFixture.hostEntry("e9", fixture.second, "Unwell") + ",{\"host\":\"e7\"},17,"
+                        + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready") + ","
+                        + CourierProcessFixture.hostEntry("e1", "nowhere", "Terminating"));
         fixture.await("the change", () -> fixture.log.stream().anyMatch(line -> line.startsWith("the list at 42")));
         assertEquals(202, fixture.submit("m1", "safe").status());
         fixture.await("the call where the change was good", () -> fixture.second.requests.size() == 1);
         assertEquals(0, fixture.first.requests.size(), "what drains is heeded though its address cannot be read");
         assertEquals(
-                1, fixture.log.stream().filter(line -> line.contains("'nowhere'")).count(), fixture.log.toString());
+                1,
+                fixture.log.stream().filter(line -> line.contains("'nowhere'")).count(),
+                fixture.log.toString());
     }
 
     @Test
@@ -993,7 +1075,9 @@
         fixture.start();
         assertEquals(
                 1,
-                fixture.log.stream().filter(line -> line.startsWith("a fleet of")).count(),
+                fixture.log.stream()
+                        .filter(line -> line.startsWith("a fleet of"))
+                        .count(),
                 fixture.log.toString());
         assertEquals(202, fixture.submit("m1", "safe").status());
         fixture.await("the call", () -> fixture.first.requests.size() == 1);
@@ -1038,9 +1122,13 @@
         fixture.start();
         try (Socket socket = fixture.connect()) {
             // A first request, so that the time before it on this connection does not count.
-            assertEquals(202, CourierProcessFixture.send(socket, CourierProcessFixture.message("m0", "safe")).status());
+            assertEquals(
+                    202,
+                    CourierProcessFixture.send(socket, CourierProcessFixture.message("m0", "safe"))
+                            .status());
             final long apartMs = sendSlowly(socket, CourierProcessFixture.message("m1", "once"), 900);
-            assertEquals(202, CourierProcessFixture.read(socket.getInputStream()).status());
+            assertEquals(
+                    202, CourierProcessFixture.read(socket.getInputStream()).status());
             fixture.await("the call", () -> fixture.first.ids().contains("m1"));
             final FakeServer.Request call = fixture.first.requests.stream()
                     .filter(one -> one.ids().contains("m1"))
@@ -1057,7 +1145,10 @@
     void aMessageWhoseTimeIsUpBeforeItIsWholeIsRefused() throws IOException {
         fixture.start();
         try (Socket socket = fixture.connect()) {
-            sendSlowly(socket, CourierProcessFixture.message("m1", "safe").replace("X-Timeout-Ms: 20000", "X-Timeout-Ms: 100"), 900);
+            sendSlowly(
+                    socket,
+                    CourierProcessFixture.message("m1", "safe").replace("X-Timeout-Ms: 20000", "X-Timeout-Ms: 100"),
+                    900);
             final CourierProcessFixture.Answer answer = CourierProcessFixture.read(socket.getInputStream());
             assertEquals(503, answer.status());
             assertTrue(answer.head().contains("retry-after"), answer.head());
