--- a/src/test/java/railspar/node/OperatorServerTest.java
+++ b/src/test/java/railspar/node/OperatorServerTest.java
@@ -89,12 +89,16 @@
     void aDrainSaysNoAtUpEndsIdleConnectionsAndServesOnUntilItIsOver() throws IOException {
         fixture.start();
         final Socket idle = fixture.connect();
-        assertEquals(202, CourierProcessFixture.send(idle, CourierProcessFixture.message("m1", "safe")).status());
+        assertEquals(
+                202,
+                CourierProcessFixture.send(idle, CourierProcessFixture.message("m1", "safe"))
+                        .status());
         final Socket busy = fixture.connect();
         assertEquals(200, CourierProcessFixture.send(busy, UP).status());
         assertEquals("+OK\n", fixture.operatorCommand("LEAVE"));
         assertEquals(503, fixture.send(UP).status());
-        final CourierProcessFixture.Answer late = CourierProcessFixture.send(busy, CourierProcessFixture.message("m2", "safe"));
+        final CourierProcessFixture.Answer late =
+                CourierProcessFixture.send(busy, CourierProcessFixture.message("m2", "safe"));
         assertEquals(202, late.status(), "what still comes is served");
         assertTrue(late.head().contains("connection: close"), late.head());
         assertEquals(-1, busy.getInputStream().read());
@@ -104,26 +108,29 @@
         assertEquals("+OK\n", fixture.operatorCommand("JOIN"));
         assertEquals(200, fixture.send(UP).status());
         final Socket kept = fixture.connect();
-        final CourierProcessFixture.Answer after = CourierProcessFixture.send(kept, CourierProcessFixture.message("m3", "safe"));
+        final CourierProcessFixture.Answer after =
+                CourierProcessFixture.send(kept, CourierProcessFixture.message("m3", "safe"));
         assertFalse(after.head().contains("connection: close"), after.head());
-        assertEquals(202, CourierProcessFixture.send(kept, CourierProcessFixture.message("m4", "safe")).status());
+        assertEquals(
+                202,
+                CourierProcessFixture.send(kept, CourierProcessFixture.message("m4", "safe"))
+                        .status());
     }
 
     // ---------------------------------------------------------------- endpoints taken out
 
     private void twoEndpoints() {
-        fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + "," + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
+        fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + ","
+                + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
     }
 
     private void deliver(final String prefix, final int messages) throws IOException {
         for (int count = 0; count < messages; count++) {
             final String id = prefix + count;
             assertEquals(202, fixture.submit(id, "safe").status());
-            fixture.await(
-                    id,
-                    () -> Stream.of(fixture.first, fixture.second)
-                            .flatMap(at -> at.requests.stream())
-                            .anyMatch(request -> request.ids().contains(id)));
+            fixture.await(id, () -> Stream.of(fixture.first, fixture.second)
+                    .flatMap(at -> at.requests.stream())
+                    .anyMatch(request -> request.ids().contains(id)));
         }
     }
 
--- a/src/test/java/railspar/node/SettingsApartTest.java
+++ b/src/test/java/railspar/node/SettingsApartTest.java
@@ -9,8 +9,6 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import railspar.Control;
-import railspar.Courier;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -24,6 +22,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
+import railspar.Control;
+import railspar.Courier;
 
 /**
  * Two customers' settings in one process: neither takes anything of the other, and what is absent has its default.
@@ -65,12 +65,12 @@
         final Courier.MessageClass lab = settings.classes().get(0);
         assertEquals(Courier.Effect.UNSAFE, lab.effect(), "an effect that is not told may be the worst one");
         assertFalse(lab.ordered());
-        assertFalse(lab.deduplicatedPerZone());
+        assertFalse(lab.dedupPerZone());
         assertEquals(0, lab.dedupWindowUs(), "no window, no repeat");
         assertEquals(1, lab.value());
         assertEquals(0, lab.lateValue());
         assertEquals(lab.deadlineUs(), lab.targetUs(), "no aim but the deadline");
-        assertEquals(1, settings.courierCount());
+        assertEquals(1, settings.fleetSize());
         assertEquals("", settings.zone());
         assertEquals(Courier.WeightMeaning.NONE, settings.weightMeaning());
         assertEquals(Courier.ValueDecay.LINEAR, settings.valueDecay());
@@ -85,7 +85,9 @@
         assertNull(plain.mgmt());
         final Courier.Limits limits = settings.limits();
         assertTrue(
-                limits.maxCallsInFlight() > 1_000_000 && limits.maxOpenMessages() > 1_000_000 && limits.maxAttempts() > 1_000_000,
+                limits.maxCalls() > 1_000_000
+                        && limits.maxOpenMessages() > 1_000_000
+                        && limits.maxAttempts() > 1_000_000,
                 "no limit is told: " + limits);
         assertNotEquals(rich.limits().idleTimeoutUs(), limits.idleTimeoutUs());
     }
--- a/src/test/java/railspar/node/ShutdownCrossingsTest.java
+++ b/src/test/java/railspar/node/ShutdownCrossingsTest.java
@@ -69,7 +69,8 @@
             assertTrue(ending.waitFor(CourierProcessFixture.TIMEOUT_S, TimeUnit.SECONDS));
         }
         fixture.start();
-        fixture.await("its delivery, by either process", () -> fixture.first.ids().contains("m1"));
+        fixture.await(
+                "its delivery, by either process", () -> fixture.first.ids().contains("m1"));
         assertEquals(List.of("m1"), fixture.first.ids());
     }
 
@@ -79,7 +80,8 @@
         final Process ending = terminate();
         try (Socket socket = fixture.connect()) {
             write(socket, half(CourierProcessFixture.message("m1", "once")));
-            final int status = CourierProcessFixture.read(socket.getInputStream()).status();
+            final int status =
+                    CourierProcessFixture.read(socket.getInputStream()).status();
             assertTrue(status == 503 || status == 408, "status " + status);
             assertEquals(-1, socket.getInputStream().read());
         }
@@ -89,8 +91,10 @@
     @Test
     void requestsBehindOneAnotherAreAllAnsweredAndTheLastAnswerSaysClose() throws IOException, InterruptedException {
         fixture.start();
-        final List<String> messages =
-                List.of(CourierProcessFixture.message("m1", "once"), CourierProcessFixture.message("m2", "once"), CourierProcessFixture.message("m3", "once"));
+        final List<String> messages = List.of(
+                CourierProcessFixture.message("m1", "once"),
+                CourierProcessFixture.message("m2", "once"),
+                CourierProcessFixture.message("m3", "once"));
         final Process ending;
         try (Socket socket = fixture.connect()) {
             write(socket, half(messages.get(0)));
@@ -117,14 +121,16 @@
     void anAnswerIsReadThoughItsConnectionEndsOverBytesThatNobodyAskedFor() throws IOException {
         fixture.start();
         try (Socket socket = fixture.connect()) {
-            final String last = CourierProcessFixture.message("m1", "safe").replace("Host:", "Connection: close\r\nHost:");
+            final String last =
+                    CourierProcessFixture.message("m1", "safe").replace("Host:", "Connection: close\r\nHost:");
             try {
                 // More than the kernel holds for us: some of it lies unread when the answer is written.
                 write(socket, last + "x".repeat(1 << 22));
             } catch (final IOException e) {
                 assertTrue(e.getMessage() != null, "a close over unread bytes shows here, or in what is read below");
             }
-            assertEquals(202, CourierProcessFixture.read(socket.getInputStream()).status());
+            assertEquals(
+                    202, CourierProcessFixture.read(socket.getInputStream()).status());
             assertEquals(-1, socket.getInputStream().read());
         }
         fixture.await("the call", () -> fixture.first.ids().contains("m1"));
@@ -143,13 +149,17 @@
         fixture.start();
         final Process ending;
         try (Socket resting = fixture.connect()) {
-            assertEquals(202, CourierProcessFixture.send(resting, CourierProcessFixture.message("m1", "safe")).status());
+            assertEquals(
+                    202,
+                    CourierProcessFixture.send(resting, CourierProcessFixture.message("m1", "safe"))
+                            .status());
             ending = fixture.terminate();
             assertEquals(-1, resting.getInputStream().read(), "the resting client is sent away");
             write(resting, CourierProcessFixture.message("crossed", "safe"));
             assertEquals(-1, resting.getInputStream().read());
         }
-        assertEquals(202, fixture.submit("again", "safe").status(), "the client sends it once more on a new connection");
+        assertEquals(
+                202, fixture.submit("again", "safe").status(), "the client sends it once more on a new connection");
         assertTrue(ending.waitFor(CourierProcessFixture.TIMEOUT_S, TimeUnit.SECONDS));
         fixture.start();
         fixture.await("the repeat", () -> fixture.first.ids().contains("again"));
@@ -160,12 +170,16 @@
     void aRequestThatLiesInTheKernelAtSigtermIsAnswered() throws IOException, InterruptedException {
         fixture.start();
         try (Socket resting = fixture.connect()) {
-            assertEquals(202, CourierProcessFixture.send(resting, CourierProcessFixture.message("m1", "safe")).status());
+            assertEquals(
+                    202,
+                    CourierProcessFixture.send(resting, CourierProcessFixture.message("m1", "safe"))
+                            .status());
             fixture.signal("STOP");
             write(resting, CourierProcessFixture.message("m2", "safe"));
             fixture.signal("TERM");
             fixture.signal("CONT");
-            assertEquals(202, CourierProcessFixture.read(resting.getInputStream()).status());
+            assertEquals(
+                    202, CourierProcessFixture.read(resting.getInputStream()).status());
         }
         fixture.await("its delivery", () -> fixture.first.ids().contains("m2"));
     }
@@ -180,7 +194,10 @@
         final List<Socket> sockets = new ArrayList<>();
         for (int count = 0; count < crowd; count++) {
             final Socket socket = fixture.connect();
-            write(socket, CourierProcessFixture.message("m" + count, "safe").replace("dest=7", "dest=" + (count % 5 == 0 ? 7 : 8)));
+            write(
+                    socket,
+                    CourierProcessFixture.message("m" + count, "safe")
+                            .replace("dest=7", "dest=" + (count % 5 == 0 ? 7 : 8)));
             sockets.add(socket);
         }
         // The end of listening falls due while the process has no core.
@@ -189,7 +206,8 @@
         }
         fixture.signal("CONT");
         for (final Socket socket : sockets) {
-            final int status = CourierProcessFixture.read(socket.getInputStream()).status();
+            final int status =
+                    CourierProcessFixture.read(socket.getInputStream()).status();
             assertTrue(status == 202 || status == 503 || status == 429, "status " + status);
             socket.close();
         }
@@ -200,8 +218,10 @@
         fixture.start();
         try (Socket socket = fixture.connect()) {
             write(socket, CourierProcessFixture.message("m1", "safe") + "what is this\r\n\r\n");
-            assertEquals(202, CourierProcessFixture.read(socket.getInputStream()).status());
-            assertEquals(400, CourierProcessFixture.read(socket.getInputStream()).status());
+            assertEquals(
+                    202, CourierProcessFixture.read(socket.getInputStream()).status());
+            assertEquals(
+                    400, CourierProcessFixture.read(socket.getInputStream()).status());
             assertEquals(-1, socket.getInputStream().read());
         }
         fixture.await("the call", () -> fixture.first.ids().contains("m1"));
@@ -212,10 +232,12 @@
         fixture.start();
         try (Socket socket = fixture.connect()) {
             write(socket, CourierProcessFixture.message("m1", "safe") + "POST /safe HTTP/1.1\r\nHo");
-            assertEquals(202, CourierProcessFixture.read(socket.getInputStream()).status());
+            assertEquals(
+                    202, CourierProcessFixture.read(socket.getInputStream()).status());
             final long fromNs = System.nanoTime();
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(6));
-            assertEquals(408, CourierProcessFixture.read(socket.getInputStream()).status());
+            assertEquals(
+                    408, CourierProcessFixture.read(socket.getInputStream()).status());
             assertTrue(System.nanoTime() - fromNs < TimeUnit.SECONDS.toNanos(6));
         }
     }
--- a/src/test/java/railspar/node/SlowAgentTest.java
+++ b/src/test/java/railspar/node/SlowAgentTest.java
@@ -62,7 +62,10 @@
     }
 
     private static String drain(final CourierProcessFixture rig) {
-        return CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", rig.first, "Terminating") + "," + CourierProcessFixture.hostEntry("e2", rig.second, "Ready"));
+        return CourierProcessFixture.listLine(
+                42,
+                CourierProcessFixture.hostEntry("e1", rig.first, "Terminating") + ","
+                        + CourierProcessFixture.hostEntry("e2", rig.second, "Ready"));
     }
 
     private boolean isTold() {
@@ -170,7 +173,8 @@
     @Test
     void aProcessThatTakesOverBeforeItsAgentHasSpokenSendsNothingToAnEndpointThatDrains() throws Exception {
         fixture.discovery = "pushed";
-        fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + "," + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
+        fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + ","
+                + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
         agent();
         fixture.start();
         headMs = 2500;
--- a/src/test/java/railspar/node/SlowPlatformTest.java
+++ b/src/test/java/railspar/node/SlowPlatformTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import railspar.node.FaultPage.Fault;
 import java.io.IOException;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
@@ -14,6 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import railspar.node.FaultPage.Fault;
 
 /** A platform that answers notices late: they are confirmed all the same, and keys go on. */
 final class SlowPlatformTest extends AbstractCourierProcessTest {
@@ -49,9 +49,14 @@
                 connection.accept(request);
             }
         });
-        assertEquals(202, fixture.send(CourierProcessFixture.orderedMessage("first", "k")).status());
+        assertEquals(
+                202,
+                fixture.send(CourierProcessFixture.orderedMessage("first", "k")).status());
         fixture.await("the notice", () -> posts.stream().anyMatch(text -> text.contains("\"first\"")));
-        assertEquals(202, fixture.send(CourierProcessFixture.orderedMessage("second", "k")).status());
+        assertEquals(
+                202,
+                fixture.send(CourierProcessFixture.orderedMessage("second", "k"))
+                        .status());
         fixture.await("the call of the second", () -> fixture.first.ids().contains("second"));
     }
 
@@ -89,7 +94,8 @@
         fixture.start();
         fixture.first.script((request, connection) -> connection.answer(410, ""));
         assertEquals(202, fixture.submit("m0", "safe").status());
-        fixture.await("the notice that is not answered", () -> posts.stream().anyMatch(text -> text.contains("\"m0\"")));
+        fixture.await(
+                "the notice that is not answered", () -> posts.stream().anyMatch(text -> text.contains("\"m0\"")));
         fixture.faults.set(Fault.SOCKET_ERRNO, FaultPage.EMFILE);
         for (int count = 1; count < 4; count++) {
             final String id = "m" + count;
--- a/src/test/java/railspar/node/SoakClients.java
+++ b/src/test/java/railspar/node/SoakClients.java
@@ -96,7 +96,9 @@
         final String id = kind + "-" + client + "-" + numbers.incrementAndGet();
         final String key = kind.equals("turn") ? "key" + client : null;
         final long timeoutMs = LEAST_TIME_MS + own.nextInt(TIME_RANGE_MS);
-        final String text = (key == null ? CourierProcessFixture.message(id, kind) : CourierProcessFixture.orderedMessage(id, key))
+        final String text = (key == null
+                        ? CourierProcessFixture.message(id, kind)
+                        : CourierProcessFixture.orderedMessage(id, key))
                 .replace("X-Timeout-Ms: 20000", "X-Timeout-Ms: " + timeoutMs);
         final SoakRecord.Message message = new SoakRecord.Message(id, kind, key, record.nowMs(), timeoutMs);
         record.handedIn(message);
--- a/src/test/java/railspar/node/SoakRun.java
+++ b/src/test/java/railspar/node/SoakRun.java
@@ -1,6 +1,5 @@
 package railspar.node;
 
-import railspar.node.FaultPage.Fault;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.file.Path;
@@ -13,6 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import railspar.node.FaultPage.Fault;
 
 /**
  * One seeded play before a real courier: clients that use their open connections until the kill, endpoints, an agent
--- a/src/test/java/railspar/node/SocketFaultsTest.java
+++ b/src/test/java/railspar/node/SocketFaultsTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import railspar.node.FaultPage.Fault;
 import java.io.IOException;
 import java.util.List;
 import java.util.concurrent.Executors;
@@ -15,6 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
+import railspar.node.FaultPage.Fault;
 
 /**
  * A real courier under load whose calls on sockets fail for a spell, before, in the midst of or after their effect.
@@ -73,7 +73,8 @@
         fixture.faults = new FaultPage(folder, folder.resolve("state"));
         fixture.discovery = "pushed";
         fixture.maxOpen = 200;
-        fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + "," + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
+        fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + ","
+                + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
         fixture.platform.script((request, connection) -> {
             if (request.line().startsWith("POST")) {
                 record.noticed(request.text());
--- a/src/test/java/railspar/node/StartCrossingsTest.java
+++ b/src/test/java/railspar/node/StartCrossingsTest.java
@@ -31,7 +31,8 @@
             final long validUntilUs = (System.currentTimeMillis() + leftMs) * 1000;
             for (int count = 0; count < EACH; count++) {
                 assertTrue(JournalTest.takes(
-                        journal, new AcceptedMessage(prefix + count, "safe", null, null, 7, validUntilUs, new byte[800])));
+                        journal,
+                        new AcceptedMessage(prefix + count, "safe", null, null, 7, validUntilUs, new byte[800])));
             }
         }
     }
@@ -54,9 +55,8 @@
         final long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - fromNs);
         assertTrue(tookMs < READY_MS, "ready after " + tookMs + " ms");
         assertEquals(202, fixture.submit("new", "safe").status());
-        fixture.await(
-                "an end for each whose time is up",
-                () -> all("late").stream().allMatch(id -> fixture.hasNotice(id, "deferred")));
+        fixture.await("an end for each whose time is up", () -> all("late").stream()
+                .allMatch(id -> fixture.hasNotice(id, "deferred")));
         fixture.await("a call for each that was never tried", () -> called().containsAll(all("held")));
         final Set<String> again = new HashSet<>(called());
         again.retainAll(all("late"));
--- a/src/test/java/railspar/node/StoredListCrossingsTest.java
+++ b/src/test/java/railspar/node/StoredListCrossingsTest.java
@@ -45,7 +45,10 @@
     }
 
     private String news() {
-        return CourierProcessFixture.listLine(43, CourierProcessFixture.hostEntry("e1", fixture.first, "Gone") + "," + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready"));
+        return CourierProcessFixture.listLine(
+                43,
+                CourierProcessFixture.hostEntry("e1", fixture.first, "Gone") + ","
+                        + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready"));
     }
 
     private Path copy() {
@@ -97,7 +100,10 @@
     @Test
     void withNoListAtAllItIsReadyOnceOneIsInForce() throws IOException {
         fixture.hosts = "";
-        agent("{\"seq\":42,\"hosts\":[{\"ho\n", "{\"hosts\":[\n\n", CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e2", fixture.second, "Ready")));
+        agent(
+                "{\"seq\":42,\"hosts\":[{\"ho\n",
+                "{\"hosts\":[\n\n",
+                CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e2", fixture.second, "Ready")));
         fixture.start();
         assertEquals(3, asked.size(), "what cannot be used is no list");
         final List<String> log = List.copyOf(fixture.log);
@@ -129,7 +135,8 @@
     @Test
     void aRepeatedEntryAndAnOlderVersionChangeNothingAndAreSaidOnce() throws IOException {
         final String two = CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
-        final String repeated = CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Gone") + "," + two + "," + two)
+        final String repeated = CourierProcessFixture.listLine(
+                        42, CourierProcessFixture.hostEntry("e1", fixture.first, "Gone") + "," + two + "," + two)
                 .replace("false", "true");
         final String older = CourierProcessFixture.listLine(40, two).replace("false", "true");
         agent(repeated, repeated, older, older.replace("40", "39"), "\n");
@@ -152,7 +159,8 @@
                     .append(CourierProcessFixture.hostEntry("s-%08x".formatted(index), "127.0.0.1:9", "Ready")
                             .replace("\"block\":7", "\"block\":" + (1000 + index / 2)));
         }
-        final String whole = CourierProcessFixture.listLine(42, hosts.toString()).replace("false", "true");
+        final String whole =
+                CourierProcessFixture.listLine(42, hosts.toString()).replace("false", "true");
         assertTrue(whole.length() > 1 << 22, whole.length() + " bytes");
         agent(whole);
         fixture.start();
--- a/src/test/java/railspar/node/WatchCrossingsTest.java
+++ b/src/test/java/railspar/node/WatchCrossingsTest.java
@@ -74,8 +74,10 @@
     @Test
     void aWatchThatFallsSilentInTheMiddleOfALineIsOpenedAnew() throws IOException {
         fixture.discovery = "pushed";
-        final String line =
-                CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating") + "," + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready"));
+        final String line = CourierProcessFixture.listLine(
+                42,
+                CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating") + ","
+                        + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready"));
         agent(
                 connection -> begin(connection, "\n" + line.substring(0, line.length() / 2)),
                 connection -> begin(connection, line));
@@ -107,8 +109,10 @@
 
     @Test
     void theLongestDrawsOfAllPausesStayInsideWhatCountsAsTold() {
-        final long silent =
-                Discovery.SILENCE_TIMEOUT_MS + Discovery.retryDelayMs(0, 1) + Discovery.FIRST_RESPONSE_MS + Discovery.retryDelayMs(1, 1);
+        final long silent = Discovery.SILENCE_TIMEOUT_MS
+                + Discovery.retryDelayMs(0, 1)
+                + Discovery.FIRST_RESPONSE_MS
+                + Discovery.retryDelayMs(1, 1);
         assertTrue(silent < TOLD_MS, "a watch falls silent, and so does the call for the next one: " + silent);
         final long returned = Discovery.FIRST_RESPONSE_MS + Discovery.retryDelayMs(Integer.MAX_VALUE, 1);
         assertTrue(returned < MOVED_MS, "a call and its pause began just before discovery returned: " + returned);
@@ -142,7 +146,8 @@
         agent(connection -> begin(
                 connection,
                 "{\n  \"seq\": 42,\n  \"whole\": true,\n  \"hosts\": [\n    "
-                        + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready").replace(",", ",\n      ") + "\n  ]\n}\n"));
+                        + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready")
+                                .replace(",", ",\n      ") + "\n  ]\n}\n"));
         fixture.start();
         assertEquals(202, fixture.submit("m1", "safe").status());
         fixture.await("the call", () -> fixture.second.requests.size() == 1);
--- a/src/test/java/railspar/node/WatchTest.java
+++ b/src/test/java/railspar/node/WatchTest.java
@@ -4,8 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import railspar.list.ListFormatException;
-import railspar.list.StagedList;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
 import io.netty.handler.codec.http.DefaultHttpContent;
@@ -21,6 +19,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import railspar.list.ListFormatException;
+import railspar.list.StagedList;
 
 /** When a watch is given up, on a clock that the test moves. */
 final class WatchTest {
--- a/src/test/java/railspar/scale/RunIndependenceTest.java
+++ b/src/test/java/railspar/scale/RunIndependenceTest.java
@@ -45,7 +45,7 @@
 
     @Test
     void theWalkSeesAReferenceWhereThereIsOne() throws IOException {
-        assertTrue(refersTo(
-                SCALE.resolve(Path.of("standin", "FleetPlan.class")), "railspar/scale/standin/EndpointEntry"));
+        assertTrue(
+                refersTo(SCALE.resolve(Path.of("standin", "FleetPlan.class")), "railspar/scale/standin/EndpointEntry"));
     }
 }
--- a/src/test/java/railspar/scale/fleet/FleetRunTest.java
+++ b/src/test/java/railspar/scale/fleet/FleetRunTest.java
@@ -1,16 +1,16 @@
 package railspar.scale.fleet;
 
-import static railspar.scale.fleet.Disturbances.NONE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static railspar.scale.fleet.Disturbances.NONE;
 
-import railspar.scale.fleet.Disturbances.CutMode;
-import railspar.scale.standin.FleetPlan;
 import java.nio.file.Path;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import railspar.scale.fleet.Disturbances.CutMode;
+import railspar.scale.standin.FleetPlan;
 
 /** A small fleet over 30 simulated seconds, with each of the disturbances; all that is asserted is counted. */
 final class FleetRunTest {
--- a/src/test/java/railspar/scale/real/RealCourierTest.java
+++ b/src/test/java/railspar/scale/real/RealCourierTest.java
@@ -4,6 +4,16 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
 import railspar.scale.BoundedWait;
 import railspar.scale.standin.ClientLoad;
 import railspar.scale.standin.ClientLoadSettings;
@@ -17,16 +27,6 @@
 import railspar.scale.standin.LoopbackPorts;
 import railspar.scale.standin.MessageLedger;
 import railspar.scale.standin.MessageShape;
-import java.io.IOException;
-import java.net.InetSocketAddress;
-import java.net.Socket;
-import java.nio.file.Path;
-import java.time.Duration;
-import java.util.ArrayList;
-import java.util.List;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.Timeout;
-import org.junit.jupiter.api.io.TempDir;
 
 /** A real courier before the stand-ins: it starts, follows the list, delivers, is killed and starts again. */
 @Timeout(120)
--- a/src/test/java/railspar/scale/slope/DecisionFixtureTest.java
+++ b/src/test/java/railspar/scale/slope/DecisionFixtureTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import railspar.Courier;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import railspar.Courier;
 
 /** What the measurements of the decision module stand on: messages wait when they are meant to, and only then. */
 final class DecisionFixtureTest {
--- a/src/test/java/railspar/scale/standin/DestinationServerTest.java
+++ b/src/test/java/railspar/scale/standin/DestinationServerTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import railspar.scale.BoundedWait;
 import java.io.IOException;
 import java.time.Duration;
 import java.util.List;
@@ -15,6 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import railspar.scale.BoundedWait;
 
 /** What calls the stand-in of destinations answers and how, and which of them it counts as faults. */
 @Timeout(60)
--- a/src/test/java/railspar/scale/standin/DiscoveryServerTest.java
+++ b/src/test/java/railspar/scale/standin/DiscoveryServerTest.java
@@ -9,7 +9,6 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import railspar.scale.BoundedWait;
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.InetSocketAddress;
@@ -19,6 +18,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import railspar.scale.BoundedWait;
 
 /** What the stand-in of discovery tells a watch in each of its modes, and what it counts. */
 @Timeout(60)
--- a/src/test/java/railspar/scale/standin/RawHttpClient.java
+++ b/src/test/java/railspar/scale/standin/RawHttpClient.java
@@ -74,7 +74,9 @@
         return new String(in.readNBytes(length), StandardCharsets.UTF_8);
     }
 
-    /** The next line of a chunked answer without its line feed, or null where the answer ends in the middle of one. */
+    /**
+     * The next line of a chunked answer without its line feed, or null where the answer ends in the middle of one.
+     */
     String line() throws IOException {
         final ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int next = next(); next != '\n'; next = next()) {
