--- a/src/main/java/railspar/node/EndpointClient.java
+++ b/src/main/java/railspar/node/EndpointClient.java
@@ -253,9 +253,10 @@
     /** Closes connections before the endpoint does: a request that crosses its close may have run, or not. */
     private void closeOld() {
         final long beforeUs = clock.nowUs() - idleUs;
-        pools.values().forEach(pool -> List.copyOf(pool.idle).stream()
-                .filter(reader -> reader.idleSinceUs <= beforeUs)
-                .forEach(Reader::close));
+        pools.values()
+                .forEach(pool -> List.copyOf(pool.idle).stream()
+                        .filter(reader -> reader.idleSinceUs <= beforeUs)
+                        .forEach(Reader::close));
     }
 
     private void makeRoom() {
--- a/src/main/java/railspar/scale/fleet/ControlUplink.java
+++ b/src/main/java/railspar/scale/fleet/ControlUplink.java
@@ -72,8 +72,9 @@
     /** Begins the transfers that were requested in a slice, and lets time pass to the slice's end. */
     void runUntil(final long untilUs, final List<Transfer> requested) {
         lines.forEach(Line::dropAbandoned);
-        requested.stream().sorted(BY_REQUEST).forEach(transfer -> lineOf(transfer)
-                .begin(transfer));
+        requested.stream()
+                .sorted(BY_REQUEST)
+                .forEach(transfer -> lineOf(transfer).begin(transfer));
         lines.forEach(line -> line.advance(untilUs));
     }
 
--- a/src/main/java/railspar/scale/fleet/Scenario.java
+++ b/src/main/java/railspar/scale/fleet/Scenario.java
@@ -99,17 +99,21 @@
 
     private void scheduleSilentWatches() {
         final int silent = (int) Math.round(parameters.disturbances().silentWatches() * couriers.size());
-        at(SILENT_WATCHES_AT, () -> couriers.subList(0, silent)
-                .forEach(courier ->
-                        courier.at(events.nowUs(), () -> courier.watch().fallSilent())));
+        at(
+                SILENT_WATCHES_AT,
+                () -> couriers.subList(0, silent)
+                        .forEach(courier ->
+                                courier.at(events.nowUs(), () -> courier.watch().fallSilent())));
     }
 
     private void scheduleZoneCut() {
         if (parameters.disturbances().cutZone() != Disturbances.NONE) {
-            at(ZONE_CUT_AT, () -> couriers.stream()
-                    .filter(courier ->
-                            courier.zone() == parameters.disturbances().cutZone())
-                    .forEach(this::cut));
+            at(
+                    ZONE_CUT_AT,
+                    () -> couriers.stream()
+                            .filter(courier ->
+                                    courier.zone() == parameters.disturbances().cutZone())
+                            .forEach(this::cut));
         }
     }
 
--- a/src/test/java/railspar/node/CallCrossingsTest.java
+++ b/src/test/java/railspar/node/CallCrossingsTest.java
@@ -235,8 +235,9 @@
         warmUp();
         final AtomicBoolean over = new AtomicBoolean();
         final Thread crowd = crowd(over);
-        fixture.await("that no descriptor is left", () -> fixture.log.stream()
-                .anyMatch(line -> line.contains("cannot accept")));
+        fixture.await(
+                "that no descriptor is left",
+                () -> fixture.log.stream().anyMatch(line -> line.contains("cannot accept")));
         // The descriptor of this watch is free for a moment, and the crowd waits for it.
         fixture.watches.get(0).reset();
         fixture.await("another watch", () -> fixture.watches.size() >= 2);
@@ -257,8 +258,9 @@
         warmUp();
         final AtomicBoolean over = new AtomicBoolean();
         final Thread crowd = crowd(over);
-        fixture.await("that no descriptor is left", () -> fixture.log.stream()
-                .anyMatch(line -> line.contains("cannot accept")));
+        fixture.await(
+                "that no descriptor is left",
+                () -> fixture.log.stream().anyMatch(line -> line.contains("cannot accept")));
         final String message = CourierProcessFixture.message("m1", "once").replace("20000", "4000");
         assertEquals(202, fixture.send(message).status());
         fixture.await("its end", () -> fixture.hasNotice("m1", "undeliverable") || fixture.hasNotice("m1", "deferred"));
--- a/src/test/java/railspar/node/FailedWriteTest.java
+++ b/src/test/java/railspar/node/FailedWriteTest.java
@@ -89,8 +89,10 @@
         }
         awaitLog(REQUEST_IN_DOUBT);
         fixture.faults.clear();
-        fixture.await("their ends", () -> ids.stream()
-                .allMatch(id -> fixture.hasNotice(id, "undeliverable") || received(id) > 0 && isDone(id)));
+        fixture.await(
+                "their ends",
+                () -> ids.stream()
+                        .allMatch(id -> fixture.hasNotice(id, "undeliverable") || received(id) > 0 && isDone(id)));
         ids.forEach(id -> assertTrue(received(id) <= 1, id + " was sent " + received(id) + " times"));
         assertTrue(
                 fixture.log.stream()
--- a/src/test/java/railspar/node/NodeTest.java
+++ b/src/test/java/railspar/node/NodeTest.java
@@ -169,10 +169,12 @@
         fixture.first.script((request, connection) -> connection.accept(request));
         final int before = fixture.first.requests.size();
         fixture.start();
-        fixture.await("what was held goes on", () -> fixture.first.ids().stream()
-                .skip(before)
-                .collect(Collectors.toSet())
-                .containsAll(List.of("m1", "m2")));
+        fixture.await(
+                "what was held goes on",
+                () -> fixture.first.ids().stream()
+                        .skip(before)
+                        .collect(Collectors.toSet())
+                        .containsAll(List.of("m1", "m2")));
     }
 
     // ---------------------------------------------------------------- calls
@@ -589,10 +591,12 @@
         fixture.first.script((request, connection) -> connection.reset());
         fixture.start();
         assertEquals(202, fixture.submit("m1", "once").status());
-        fixture.await("its line", () -> fixture.log.stream()
-                .anyMatch(line -> line.startsWith("message m1 once to 7 failed")
-                        && line.contains("1 attempts")
-                        && line.contains("last RESET")));
+        fixture.await(
+                "its line",
+                () -> fixture.log.stream()
+                        .anyMatch(line -> line.startsWith("message m1 once to 7 failed")
+                                && line.contains("1 attempts")
+                                && line.contains("last RESET")));
     }
 
     @Test
@@ -784,11 +788,14 @@
                     moved.requests.get(0).line().contains("after=41"),
                     moved.requests.get(0).line());
             assertEquals(202, fixture.submit("m2", "once").status());
-            fixture.await("a notice to the new address", () -> moved.requests.stream()
-                    .anyMatch(request ->
-                            request.line().startsWith("POST") && request.text().contains("m2")));
-            fixture.await("the old connections' end", () -> fixture.platform.connections.stream()
-                    .allMatch(one -> one.ended));
+            fixture.await(
+                    "a notice to the new address",
+                    () -> moved.requests.stream()
+                            .anyMatch(request -> request.line().startsWith("POST")
+                                    && request.text().contains("m2")));
+            fixture.await(
+                    "the old connections' end",
+                    () -> fixture.platform.connections.stream().allMatch(one -> one.ended));
         }
         assertTrue(fixture.isAlive());
     }
--- a/src/test/java/railspar/node/OperatorServerTest.java
+++ b/src/test/java/railspar/node/OperatorServerTest.java
@@ -128,9 +128,11 @@
         for (int count = 0; count < messages; count++) {
             final String id = prefix + count;
             assertEquals(202, fixture.submit(id, "safe").status());
-            fixture.await(id, () -> Stream.of(fixture.first, fixture.second)
-                    .flatMap(at -> at.requests.stream())
-                    .anyMatch(request -> request.ids().contains(id)));
+            fixture.await(
+                    id,
+                    () -> Stream.of(fixture.first, fixture.second)
+                            .flatMap(at -> at.requests.stream())
+                            .anyMatch(request -> request.ids().contains(id)));
         }
     }
 
--- a/src/test/java/railspar/node/StartCrossingsTest.java
+++ b/src/test/java/railspar/node/StartCrossingsTest.java
@@ -55,8 +55,9 @@
         final long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - fromNs);
         assertTrue(tookMs < READY_MS, "ready after " + tookMs + " ms");
         assertEquals(202, fixture.submit("new", "safe").status());
-        fixture.await("an end for each whose time is up", () -> all("late").stream()
-                .allMatch(id -> fixture.hasNotice(id, "deferred")));
+        fixture.await(
+                "an end for each whose time is up",
+                () -> all("late").stream().allMatch(id -> fixture.hasNotice(id, "deferred")));
         fixture.await("a call for each that was never tried", () -> called().containsAll(all("held")));
         final Set<String> again = new HashSet<>(called());
         again.retainAll(all("late"));
