--- a/src/main/java/railspar/scale/RealCourierRun.java
+++ b/src/main/java/railspar/scale/RealCourierRun.java
@@ -80,7 +80,7 @@
             final PrintWriter progress,
             final FleetFigures figures)
             throws IOException, InterruptedException {
-        try (Socket refusing = LoopbackPorts.refusing()) {
+        try (Socket refusing = LoopbackPorts.bindRefusingSocket()) {
             final InetSocketAddress dial = (InetSocketAddress) refusing.getLocalSocketAddress();
             final RealCourierRun run = new RealCourierRun(plan, outage, progress, dial, figures);
             try {
@@ -100,8 +100,8 @@
         final DiscoveryServer discovery = new DiscoveryServer(history);
         final CourierConfiguration configuration = new CourierConfiguration(
                 "n" + index,
-                LoopbackPorts.free(),
-                LoopbackPorts.free(),
+                LoopbackPorts.findFreeAddress(),
+                LoopbackPorts.findFreeAddress(),
                 discovery.address(),
                 new CourierLimits(MEMORY_MB, SOCKETS, DISK_MB, MOST_OPEN),
                 plan.couriers(),
--- a/src/main/java/railspar/scale/real/BacklogFiller.java
+++ b/src/main/java/railspar/scale/real/BacklogFiller.java
@@ -1,8 +1,8 @@
 package railspar.scale.real;
 
 import railspar.scale.standin.ClientConnection;
-import railspar.scale.standin.HandIn;
-import railspar.scale.standin.HandInAnswer;
+import railspar.scale.standin.ClientMessage;
+import railspar.scale.standin.SubmissionResponse;
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -55,10 +55,10 @@
 
     /** What one client saw. */
     private static final class Tally {
-        private final int[] counts = new int[HandInAnswer.Result.values().length];
+        private final int[] counts = new int[SubmissionResponse.Result.values().length];
         private final Histogram latencies = new Histogram(DIGITS);
 
-        private int count(final HandInAnswer.Result result) {
+        private int count(final SubmissionResponse.Result result) {
             return counts[result.ordinal()];
         }
 
@@ -88,10 +88,10 @@
         }
         final int handedIn = Arrays.stream(total.counts).sum();
         return new BacklogSlopeResult.HandInCounts(
-                total.count(HandInAnswer.Result.TAKEN_ON),
-                total.count(HandInAnswer.Result.REFUSED),
-                total.count(HandInAnswer.Result.FAILED),
-                total.count(HandInAnswer.Result.NO_ANSWER),
+                total.count(SubmissionResponse.Result.ACCEPTED),
+                total.count(SubmissionResponse.Result.REJECTED),
+                total.count(SubmissionResponse.Result.FAILED),
+                total.count(SubmissionResponse.Result.NO_RESPONSE),
                 messages - handedIn,
                 (answeredNs.get() - beginNs) / NS_PER_SECOND,
                 total.latencies.getValueAtPercentile(50) / NS_PER_MS,
@@ -106,9 +106,9 @@
                     index < messages && isWorthwhile();
                     index = next.getAndIncrement()) {
                 final long sentNs = System.nanoTime();
-                final HandInAnswer answer = connection.handIn(message(index));
+                final SubmissionResponse answer = connection.submit(message(index));
                 tally.counts[answer.result().ordinal()]++;
-                if (answer.result() != HandInAnswer.Result.NO_ANSWER) {
+                if (answer.result() != SubmissionResponse.Result.NO_RESPONSE) {
                     final long nowNs = System.nanoTime();
                     tally.latencies.recordValue(nowNs - sentNs);
                     answeredNs.accumulateAndGet(nowNs, Math::max);
@@ -123,8 +123,8 @@
         return nowNs - answeredNs.get() < giveUp.toNanos() && nowNs - beginNs < longest.toNanos();
     }
 
-    private HandIn message(final int index) {
-        return new HandIn(
+    private ClientMessage message(final int index) {
+        return new ClientMessage(
                 String.format("%016x", index),
                 CourierConfiguration.SAFE_CLASS,
                 null,
--- a/src/main/java/railspar/scale/real/BacklogSlopeCommand.java
+++ b/src/main/java/railspar/scale/real/BacklogSlopeCommand.java
@@ -120,7 +120,7 @@
 
     private BacklogSlopeResult.Row measure(final int size)
             throws IOException, InterruptedException, ExecutionException {
-        try (Socket closed = LoopbackPorts.refusing()) {
+        try (Socket closed = LoopbackPorts.bindRefusingSocket()) {
             final InetSocketAddress dial = (InetSocketAddress) closed.getLocalSocketAddress();
             final FleetPlan plan = new FleetPlan(1, destinations, ENDPOINTS_PER_DESTINATION, 1, 1, 1, options.seed());
             try (DiscoveryServer discovery = new DiscoveryServer(new ListHistory(plan.endpoints(dial)));
--- a/src/main/java/railspar/scale/real/ChangeScheduleCommand.java
+++ b/src/main/java/railspar/scale/real/ChangeScheduleCommand.java
@@ -73,7 +73,7 @@
     public Integer call() throws IOException {
         final List<EndpointEntry> list;
         check();
-        try (Socket refusing = LoopbackPorts.refusing()) {
+        try (Socket refusing = LoopbackPorts.bindRefusingSocket()) {
             list = listOptions.plan(destinations, options.seed()).endpoints((InetSocketAddress)
                     refusing.getLocalSocketAddress());
             final ListHistory history = new ListHistory(list);
--- a/src/main/java/railspar/scale/real/CourierOptions.java
+++ b/src/main/java/railspar/scale/real/CourierOptions.java
@@ -65,7 +65,14 @@
     /** What a courier that is alone is told, at free ports. */
     CourierConfiguration configuration(final DiscoveryServer discovery, final CourierLimits limits) throws IOException {
         return new CourierConfiguration(
-                "n0", LoopbackPorts.free(), LoopbackPorts.free(), discovery.address(), limits, 1, ZONE, seed);
+                "n0",
+                LoopbackPorts.findFreeAddress(),
+                LoopbackPorts.findFreeAddress(),
+                discovery.address(),
+                limits,
+                1,
+                ZONE,
+                seed);
     }
 
     /** A courier with a fresh folder under the project's build folder. */
--- a/src/main/java/railspar/scale/real/ListSlopeCommand.java
+++ b/src/main/java/railspar/scale/real/ListSlopeCommand.java
@@ -129,7 +129,7 @@
     }
 
     private ListSlopeResult.Row measure(final int size) throws IOException {
-        try (Socket closed = LoopbackPorts.refusing()) {
+        try (Socket closed = LoopbackPorts.bindRefusingSocket()) {
             final InetSocketAddress dial = (InetSocketAddress) closed.getLocalSocketAddress();
             final List<EndpointEntry> list =
                     listOptions.plan(size, options.seed()).endpoints(dial);
--- a/src/main/java/railspar/scale/standin/ClientConnection.java
+++ b/src/main/java/railspar/scale/standin/ClientConnection.java
@@ -15,133 +15,133 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A client's connection to a courier, kept between messages and opened anew when needed. One message at a time;
- * not thread-safe.
+ * A client's persistent connection to a courier, reopened when needed. It carries one message at a time. Not
+ * thread-safe.
  */
 public final class ClientConnection implements AutoCloseable {
-    /** How long a client waits for its answer. */
-    public static final Duration ANSWER_TIMEOUT = Duration.ofMillis(400);
+    /** How long a client waits for the response to a message. */
+    public static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(400);
 
     private static final int CONNECT_TIMEOUT_MS = 1000;
 
     private final InetSocketAddress address;
-    private final Duration answerTimeout;
+    private final Duration responseTimeout;
     private Socket socket;
     private InputStream in;
-    private int opened;
+    private int connectionCount;
 
-    /** A client of the courier that listens there. */
+    /** Creates a client of the courier at the address, without connecting yet. */
     public ClientConnection(final InetSocketAddress address) {
-        this(address, ANSWER_TIMEOUT);
+        this(address, RESPONSE_TIMEOUT);
     }
 
-    /** A client that waits so long for an answer. */
-    public ClientConnection(final InetSocketAddress address, final Duration answerTimeout) {
+    /** Creates a client with its own response timeout, without connecting yet. */
+    public ClientConnection(final InetSocketAddress address, final Duration responseTimeout) {
         this.address = address;
-        this.answerTimeout = answerTimeout;
+        this.responseTimeout = responseTimeout;
     }
 
-    /** Hands a message in and waits for the answer. */
-    public HandInAnswer handIn(final HandIn message) {
-        final boolean kept = socket != null;
+    /** Submits a message and waits for the response. */
+    public SubmissionResponse submit(final ClientMessage message) {
+        final boolean reused = socket != null;
         try {
             return exchange(message);
         } catch (final SocketTimeoutException e) {
             close();
-            return HandInAnswer.NONE;
+            return SubmissionResponse.NO_RESPONSE;
         } catch (final IOException e) {
             close();
-            // A courier may close a kept connection while the request crosses: it is sent once more.
-            return kept ? handInAnew(message) : HandInAnswer.NONE;
+            // The courier may have closed the persistent connection while the request was in transit: retry once.
+            return reused ? resubmit(message) : SubmissionResponse.NO_RESPONSE;
         }
     }
 
-    private HandInAnswer handInAnew(final HandIn message) {
+    private SubmissionResponse resubmit(final ClientMessage message) {
         try {
             return exchange(message);
         } catch (final IOException e) {
             close();
-            return HandInAnswer.NONE;
+            return SubmissionResponse.NO_RESPONSE;
         }
     }
 
-    /** Connections opened so far. */
-    public int opened() {
-        return opened;
+    /** The number of connections opened so far. */
+    public int connectionCount() {
+        return connectionCount;
     }
 
-    private HandInAnswer exchange(final HandIn message) throws IOException {
+    private SubmissionResponse exchange(final ClientMessage message) throws IOException {
         if (socket == null) {
             open();
         }
-        socket.getOutputStream().write(message.request());
-        return readAnswer(System.nanoTime() + answerTimeout.toNanos());
+        socket.getOutputStream().write(message.toRequest());
+        return readResponse(System.nanoTime() + responseTimeout.toNanos());
     }
 
     private void open() throws IOException {
-        final Socket fresh = new Socket();
-        fresh.setTcpNoDelay(true);
+        final Socket newSocket = new Socket();
+        newSocket.setTcpNoDelay(true);
         try {
-            fresh.connect(address, CONNECT_TIMEOUT_MS);
+            newSocket.connect(address, CONNECT_TIMEOUT_MS);
         } catch (final IOException e) {
-            fresh.close();
+            newSocket.close();
             throw e;
         }
-        socket = fresh;
-        in = new BufferedInputStream(fresh.getInputStream());
-        opened++;
+        socket = newSocket;
+        in = new BufferedInputStream(newSocket.getInputStream());
+        connectionCount++;
     }
 
-    private HandInAnswer readAnswer(final long untilNs) throws IOException {
-        final String statusLine = line(untilNs);
-        final String[] words = statusLine.split(" ");
-        if (words.length < 2) {
-            throw new IOException("no status line: " + statusLine);
+    private SubmissionResponse readResponse(final long deadlineNs) throws IOException {
+        final String statusLine = readLine(deadlineNs);
+        final String[] statusParts = statusLine.split(" ");
+        if (statusParts.length < 2) {
+            throw new IOException("the response has no valid status line: " + statusLine);
         }
-        int length = 0;
+        int contentLength = 0;
         double retryAfter = 0;
-        boolean keep = true;
-        for (String header = line(untilNs); !header.isEmpty(); header = line(untilNs)) {
+        boolean keepAlive = true;
+        for (String header = readLine(deadlineNs); !header.isEmpty(); header = readLine(deadlineNs)) {
             final int colon = header.indexOf(':');
             final String name = header.substring(0, colon).toLowerCase(Locale.ROOT);
             final String value = header.substring(colon + 1).trim();
             switch (name) {
-                case "content-length" -> length = Integer.parseInt(value);
+                case "content-length" -> contentLength = Integer.parseInt(value);
                 case "retry-after" -> retryAfter = Double.parseDouble(value);
-                case "connection" -> keep = !value.equalsIgnoreCase("close");
+                case "connection" -> keepAlive = !value.equalsIgnoreCase("close");
                 default -> {}
             }
         }
-        for (int count = 0; count < length; count++) {
-            next(untilNs);
+        for (int count = 0; count < contentLength; count++) {
+            readByte(deadlineNs);
         }
-        if (!keep) {
+        if (!keepAlive) {
             close();
         }
-        return HandInAnswer.of(Integer.parseInt(words[1]), retryAfter);
+        return SubmissionResponse.of(Integer.parseInt(statusParts[1]), retryAfter);
     }
 
-    private String line(final long untilNs) throws IOException {
+    private String readLine(final long deadlineNs) throws IOException {
         final ByteArrayOutputStream line = new ByteArrayOutputStream();
-        for (int next = next(untilNs); next != '\n'; next = next(untilNs)) {
+        for (int next = readByte(deadlineNs); next != '\n'; next = readByte(deadlineNs)) {
             line.write(next);
         }
         return line.toString(StandardCharsets.ISO_8859_1).trim();
     }
 
-    private int next(final long untilNs) throws IOException {
+    private int readByte(final long deadlineNs) throws IOException {
         if (in.available() == 0) {
-            final long leftMs = TimeUnit.NANOSECONDS.toMillis(untilNs - System.nanoTime());
-            if (leftMs <= 0) {
-                throw new SocketTimeoutException("no answer in time");
+            final long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadlineNs - System.nanoTime());
+            if (remainingMs <= 0) {
+                throw new SocketTimeoutException("the courier did not respond in time");
             }
-            socket.setSoTimeout((int) leftMs);
+            socket.setSoTimeout((int) remainingMs);
         }
-        final int next = in.read();
-        if (next < 0) {
-            throw new EOFException("the courier closed the connection");
+        final int value = in.read();
+        if (value < 0) {
+            throw new EOFException("the courier closed the connection before the end of its response");
         }
-        return next;
+        return value;
     }
 
     @Override
--- a/src/main/java/railspar/scale/standin/HandIn.java
+++ b/src/main/java/railspar/scale/standin/ClientMessage.java
@@ -4,18 +4,18 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One message as a client hands it in.
+ * A message as a client submits it.
  *
- * @param id its id, a new one on every occasion
- * @param className its class
- * @param key its key in classes that keep their order, or null
- * @param timeoutMs for how long it may be delivered
- * @param destination the number of its destination
- * @param body its bytes
+ * @param id the message id, a new one for each message
+ * @param className the message class
+ * @param key the message key in classes with ordered delivery, or null
+ * @param timeoutMs how long the courier may try to deliver it
+ * @param destination the destination number
+ * @param body the message body
  */
-public record HandIn(String id, String className, String key, long timeoutMs, long destination, byte[] body) {
-    /** The request on the wire. */
-    byte[] request() {
+public record ClientMessage(String id, String className, String key, long timeoutMs, long destination, byte[] body) {
+    /** The bytes of the HTTP request. */
+    byte[] toRequest() {
         final String path = key == null ? className : className + "/" + key;
         final String head = "POST /" + path + " HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: " + id
                 + "\r\nX-Priority-Class: " + className + "\r\nX-Timeout-Ms: " + timeoutMs
--- a/src/main/java/railspar/scale/standin/ConnectionTraffic.java
+++ b/src/main/java/railspar/scale/standin/ConnectionTraffic.java
@@ -3,15 +3,15 @@
 import java.net.InetSocketAddress;
 
 /**
- * What went over one connection to discovery so far.
+ * The traffic of one connection to discovery so far.
  *
- * @param number counts the connections in the order in which they were accepted, from 1
- * @param peer the other end
- * @param bytesIn bytes read from it
- * @param bytesOut bytes handed to the kernel for it, all of HTTP included
- * @param wholeLists whole lists that were begun on it
- * @param changeLines lines with changes that were sent on it
- * @param open whether it still stands
+ * @param number number of the connection in the order of acceptance, from 1
+ * @param peer address of the peer
+ * @param bytesIn bytes received
+ * @param bytesOut bytes written to the socket, including all of the HTTP framing
+ * @param wholeLists number of whole lists whose transmission was started
+ * @param changeLines number of lines with changes that were sent
+ * @param open whether the connection is still open
  */
 public record ConnectionTraffic(
         long number,
--- a/src/main/java/railspar/scale/standin/Destination.java
+++ b/src/main/java/railspar/scale/standin/Destination.java
@@ -4,159 +4,173 @@
 import java.util.Deque;
 import java.util.concurrent.TimeUnit;
 
-/** One destination's limits and state, without sockets and with the time told by the caller. Not thread-safe. */
+/**
+ * The limits and state of one simulated destination. It has no sockets, and the caller passes the time. Not
+ * thread-safe.
+ */
 final class Destination {
     private static final double NS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
-    /** Messages that may come at once without waiting for the limit, as a time's worth of it. */
+    /** Burst capacity of the rate limit, as the time in which the limit admits as many messages. */
     private static final double BURST_SECONDS = 0.1;
-    /** A wait is never shorter: the limit is shared by many senders. */
-    private static final long LEAST_WAIT_NS = TimeUnit.MILLISECONDS.toNanos(10);
+    /** Lower bound of the retry delay, because many senders share the limit. */
+    private static final long MIN_RETRY_AFTER_NS = TimeUnit.MILLISECONDS.toNanos(10);
 
     /** A call that waits for a slot. */
     interface Call {
-        /** It has a slot now and runs. */
+        /** Called once the call has a slot; it executes now. */
         void run();
     }
 
-    /** How many of the messages of a call are taken, and how long the others are told to wait. */
-    record Admission(int taken, long waitNs) {}
+    /** How many messages of a call are admitted, and the retry delay for the others. */
+    record Admission(int admitted, long retryAfterNs) {}
 
     private final DestinationSettings settings;
-    private final Deque<Call> waiting = new ArrayDeque<>();
-    private int running;
+    private final Deque<Call> queue = new ArrayDeque<>();
+    private int runningCalls;
     private boolean hung;
-    /** Messages that the limit lets through now. */
-    private double allowance;
+    /** Tokens in the bucket of the rate limit: messages that it admits now. */
+    private double tokens;
 
-    private long allowanceAtNs = Long.MIN_VALUE;
-    /** When the last outage ended; it is warm where there was none. */
-    private long warmingFromNs = Long.MIN_VALUE;
+    private long tokensUpdatedNs = Long.MIN_VALUE;
+    /** When the last outage ended; without an outage the destination has its full capacity. */
+    private long warmUpStartNs = Long.MIN_VALUE;
 
-    private long fallenUntilNs = Long.MIN_VALUE;
-    private long secondBeganNs = Long.MIN_VALUE;
+    private long failedUntilNs = Long.MIN_VALUE;
+    private long secondStartNs = Long.MIN_VALUE;
     private int messagesInSecond;
 
-    private long calls;
-    private long messages;
-    private long accepted;
-    private long turnedAway;
-    private long falls;
+    private long callCount;
+    private long messageCount;
+    private long acceptedMessages;
+    private long rejectedMessages;
+    private long overloadFailures;
 
     Destination(final DestinationSettings settings) {
         this.settings = settings;
     }
 
-    /** From now on calls get no answer, or get them again. */
-    void hang(final boolean hangs) {
-        hung = hangs;
+    /** Sets whether calls stay unanswered. */
+    void setHung(final boolean hanging) {
+        hung = hanging;
     }
 
     boolean isHung() {
         return hung;
     }
 
-    /** An outage ends now: it is cold. */
+    /** Ends an outage: the warm-up starts now. */
     void recover(final long nowNs) {
-        warmingFromNs = nowNs;
-        allowance = 0;
-        allowanceAtNs = nowNs;
+        warmUpStartNs = nowNs;
+        tokens = 0;
+        tokensUpdatedNs = nowNs;
     }
 
-    /** The share of its limit that it bears at that time. */
-    double warmth(final long nowNs) {
-        final long warmingNs = settings.warming().toNanos();
-        if (warmingFromNs == Long.MIN_VALUE || nowNs - warmingFromNs >= warmingNs) {
+    /** The share of the rate limit that is available at the time, reduced during the warm-up. */
+    double capacityShare(final long nowNs) {
+        final long warmUpNs = settings.warmUp().toNanos();
+        if (warmUpStartNs == Long.MIN_VALUE || nowNs - warmUpStartNs >= warmUpNs) {
             return 1;
         }
-        final double passed = (double) (nowNs - warmingFromNs) / warmingNs;
-        return settings.coldShare() + (1 - settings.coldShare()) * passed;
+        final double progress = (double) (nowNs - warmUpStartNs) / warmUpNs;
+        return settings.coldCapacityShare() + (1 - settings.coldCapacityShare()) * progress;
     }
 
-    /** A call with so many messages arrives. */
-    Admission arrive(final long nowNs, final int count) {
-        calls++;
-        messages += count;
-        countForFall(nowNs, count);
-        if (nowNs < fallenUntilNs) {
-            return turnAway(count, fallenUntilNs - nowNs);
+    /** Decides how many messages of an arriving call are admitted. */
+    Admission admit(final long nowNs, final int count) {
+        callCount++;
+        messageCount += count;
+        detectOverload(nowNs, count);
+        if (nowNs < failedUntilNs) {
+            return reject(count, failedUntilNs - nowNs);
         }
-        if (running >= settings.slots() && waiting.size() >= settings.queue()) {
-            return turnAway(count, 0);
+        if (runningCalls >= settings.slots() && queue.size() >= settings.queueCapacity()) {
+            return reject(count, 0);
         }
         if (settings.messagesPerSecond() == 0) {
             return new Admission(count, 0);
         }
-        refill(nowNs);
-        final int taken = (int) Math.min(count, Math.floor(allowance));
-        allowance -= taken;
-        if (taken == count) {
+        refillTokens(nowNs);
+        final int admitted = (int) Math.min(count, Math.floor(tokens));
+        tokens -= admitted;
+        if (admitted == count) {
             return new Admission(count, 0);
         }
-        final double missing = 1 - (allowance - Math.floor(allowance));
-        final long waitNs = (long) (missing / (settings.messagesPerSecond() * warmth(nowNs)) * NS_PER_SECOND);
-        turnedAway += count - taken;
-        return new Admission(taken, Math.max(LEAST_WAIT_NS, waitNs));
+        final double missingTokens = 1 - (tokens - Math.floor(tokens));
+        final long retryAfterNs =
+                (long) (missingTokens / (settings.messagesPerSecond() * capacityShare(nowNs)) * NS_PER_SECOND);
+        rejectedMessages += count - admitted;
+        return new Admission(admitted, Math.max(MIN_RETRY_AFTER_NS, retryAfterNs));
     }
 
-    private Admission turnAway(final int count, final long waitNs) {
-        turnedAway += count;
-        return new Admission(0, waitNs);
+    private Admission reject(final int count, final long retryAfterNs) {
+        rejectedMessages += count;
+        return new Admission(0, retryAfterNs);
     }
 
-    private void refill(final long nowNs) {
-        final double rate = settings.messagesPerSecond() * warmth(nowNs);
-        final double most = Math.max(1, rate * BURST_SECONDS);
-        if (allowanceAtNs == Long.MIN_VALUE) {
-            allowance = most;
+    private void refillTokens(final long nowNs) {
+        final double rate = settings.messagesPerSecond() * capacityShare(nowNs);
+        final double maxTokens = Math.max(1, rate * BURST_SECONDS);
+        if (tokensUpdatedNs == Long.MIN_VALUE) {
+            tokens = maxTokens;
         } else {
-            allowance = Math.min(most, allowance + rate * (nowNs - allowanceAtNs) / NS_PER_SECOND);
+            tokens = Math.min(maxTokens, tokens + rate * (nowNs - tokensUpdatedNs) / NS_PER_SECOND);
         }
-        allowanceAtNs = nowNs;
+        tokensUpdatedNs = nowNs;
     }
 
-    /** Sent far more within a second than it bears while it warms up, it falls, and is cold again afterwards. */
-    private void countForFall(final long nowNs, final int count) {
-        if (secondBeganNs == Long.MIN_VALUE || nowNs - secondBeganNs >= NS_PER_SECOND) {
-            secondBeganNs = nowNs;
+    /** Sent far more than its current capacity within a second of the warm-up, it fails, and then warms up again. */
+    private void detectOverload(final long nowNs, final int count) {
+        if (secondStartNs == Long.MIN_VALUE || nowNs - secondStartNs >= NS_PER_SECOND) {
+            secondStartNs = nowNs;
             messagesInSecond = 0;
         }
         messagesInSecond += count;
-        final double warmth = warmth(nowNs);
-        final double bears = settings.messagesPerSecond() * warmth;
-        if (warmth < 1 && bears > 0 && nowNs >= fallenUntilNs && messagesInSecond > settings.tipMultiple() * bears) {
-            falls++;
-            fallenUntilNs = nowNs + settings.fall().toNanos();
-            recover(fallenUntilNs);
+        final double capacityShare = capacityShare(nowNs);
+        final double capacity = settings.messagesPerSecond() * capacityShare;
+        if (capacityShare < 1
+                && capacity > 0
+                && nowNs >= failedUntilNs
+                && messagesInSecond > settings.overloadMultiple() * capacity) {
+            overloadFailures++;
+            failedUntilNs = nowNs + settings.overloadOutage().toNanos();
+            recover(failedUntilNs);
         }
     }
 
-    /** A call that was let in takes a slot, or waits for one. */
+    /** Starts an admitted call if a slot is free; otherwise queues it. */
     void start(final Call call) {
-        if (running < settings.slots()) {
-            running++;
+        if (runningCalls < settings.slots()) {
+            runningCalls++;
             call.run();
         } else {
-            waiting.add(call);
+            queue.add(call);
         }
     }
 
-    /** A call that had a slot is over, with so many messages accepted. */
-    void finish(final int acceptedMessages) {
-        accepted += acceptedMessages;
-        running--;
-        final Call next = waiting.poll();
+    /** Ends a call that had a slot, and starts the next one in the queue. */
+    void finish(final int newlyAccepted) {
+        acceptedMessages += newlyAccepted;
+        runningCalls--;
+        final Call next = queue.poll();
         if (next != null) {
-            running++;
+            runningCalls++;
             next.run();
         }
     }
 
-    /** A call is given up while it waits for a slot; false if it waits no more. */
-    boolean withdraw(final Call call) {
-        return waiting.remove(call);
+    /** Removes a call from the queue; false if it was no longer queued. */
+    boolean cancel(final Call call) {
+        return queue.remove(call);
     }
 
     DestinationCounts counts() {
-        return new DestinationCounts(calls, messages, accepted, turnedAway, falls, running, waiting.size());
+        return new DestinationCounts(
+                callCount,
+                messageCount,
+                acceptedMessages,
+                rejectedMessages,
+                overloadFailures,
+                runningCalls,
+                queue.size());
     }
 }
--- a/src/main/java/railspar/scale/standin/DestinationConnection.java
+++ b/src/main/java/railspar/scale/standin/DestinationConnection.java
@@ -22,17 +22,17 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** One connection of a courier to the destinations' stand-in; all of it runs on the server's event loop. */
+/** One connection of a courier to the simulated destinations. All of it runs on the server's event loop. */
 final class DestinationConnection extends HttpConnection {
-    private static final String ONE_PATH = "/inbox";
-    private static final String MANY_PATH = "/inbox/bulk";
+    private static final String SINGLE_PATH = "/inbox";
+    private static final String BULK_PATH = "/inbox/bulk";
     private static final String ID_HEADER = "X-Request-ID";
     private static final double NS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final DestinationServer server;
-    /** The call that is out, or null. */
-    private InboxCall current;
+    /** The call in progress, or null. */
+    private InboxCall currentCall;
 
     DestinationConnection(final DestinationServer server) {
         this.server = server;
@@ -46,168 +46,168 @@
     @Override
     void closed() {
         server.closed(this);
-        if (current != null) {
-            current.giveUp();
+        if (currentCall != null) {
+            currentCall.abandon();
         }
     }
 
     @Override
     protected void channelRead0(final ChannelHandlerContext ctx, final FullHttpRequest request) {
-        final boolean readable = current == null
+        final boolean acceptable = currentCall == null
                 && request.decoderResult().isSuccess()
                 && request.method().equals(HttpMethod.POST);
-        if (readable && request.uri().equals(ONE_PATH)) {
-            arrive(List.of(String.valueOf(request.headers().get(ID_HEADER))), false);
-        } else if (readable && request.uri().equals(MANY_PATH)) {
-            arriveTogether(request.content().toString(StandardCharsets.UTF_8));
+        if (acceptable && request.uri().equals(SINGLE_PATH)) {
+            receive(List.of(String.valueOf(request.headers().get(ID_HEADER))), false);
+        } else if (acceptable && request.uri().equals(BULK_PATH)) {
+            receiveBulk(request.content().toString(StandardCharsets.UTF_8));
         } else {
-            refuseMalformed();
+            rejectMalformed();
         }
     }
 
-    private void arriveTogether(final String body) {
+    private void receiveBulk(final String body) {
         try {
             final List<String> ids = new ArrayList<>();
             final JsonNode messages = JSON.readTree(body);
             messages.forEach(message -> ids.add(message.path("id").asText()));
             final Set<String> distinct = new HashSet<>(ids);
             if (!messages.isArray() || ids.isEmpty() || distinct.size() < ids.size()) {
-                refuseMalformed();
+                rejectMalformed();
             } else {
-                arrive(ids, true);
+                receive(ids, true);
             }
         } catch (final IOException e) {
-            refuseMalformed();
+            rejectMalformed();
         }
     }
 
-    private void refuseMalformed() {
-        server.checks().malformed();
-        answer(HttpResponseStatus.BAD_REQUEST, "", 0);
+    private void rejectMalformed() {
+        server.ruleChecker().countMalformed();
+        respond(HttpResponseStatus.BAD_REQUEST, "", 0);
     }
 
-    private void arrive(final List<String> ids, final boolean together) {
+    private void receive(final List<String> ids, final boolean bulk) {
         final List<RegisteredMessage> messages = new ArrayList<>();
         for (final String id : ids) {
-            final RegisteredMessage message = server.checks().find(id);
+            final RegisteredMessage message = server.ruleChecker().findMessage(id);
             if (message == null) {
-                answer(HttpResponseStatus.BAD_REQUEST, "", 0);
+                respond(HttpResponseStatus.BAD_REQUEST, "", 0);
                 return;
             }
             messages.add(message);
         }
         final long destination = messages.get(0).destination();
         if (messages.stream().anyMatch(message -> message.destination() != destination)) {
-            refuseMalformed();
-        } else if (ids.size() > server.settingsOf(destination).messagesPerCall()) {
-            answer(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "", 0);
+            rejectMalformed();
+        } else if (ids.size() > server.settingsOf(destination).maxMessagesPerCall()) {
+            respond(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "", 0);
         } else {
-            server.checks()
-                    .arrived(
+            server.ruleChecker()
+                    .checkAddress(
                             destination, (InetSocketAddress) context().channel().localAddress(), server.nowNs());
-            current = new InboxCall(destination, messages, together);
-            current.admit();
+            currentCall = new InboxCall(destination, messages, bulk);
+            currentCall.admit();
         }
     }
 
-    private void answer(final HttpResponseStatus status, final String body, final long waitNs) {
+    private void respond(final HttpResponseStatus status, final String body, final long retryAfterNs) {
         final DefaultFullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
         response.headers()
                 .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
-        if (waitNs > 0) {
+        if (retryAfterNs > 0) {
             response.headers()
-                    .set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", waitNs / NS_PER_SECOND));
+                    .set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", retryAfterNs / NS_PER_SECOND));
         }
         context().writeAndFlush(response).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
     }
 
-    /** One call with one message or several, until it is answered or given up. */
+    /** A call with one or several messages, until it is answered or abandoned. */
     private final class InboxCall implements Destination.Call {
-        private final long number;
+        private final long destinationNumber;
         private final Destination destination;
         private final List<RegisteredMessage> messages;
-        private final boolean together;
-        private int taken;
-        private long waitNs;
+        private final boolean bulk;
+        private int admittedCount;
+        private long retryAfterNs;
         private boolean hasSlot;
-        private boolean over;
+        private boolean ended;
 
-        InboxCall(final long number, final List<RegisteredMessage> messages, final boolean together) {
-            this.number = number;
-            this.destination = server.destination(number);
+        InboxCall(final long destinationNumber, final List<RegisteredMessage> messages, final boolean bulk) {
+            this.destinationNumber = destinationNumber;
+            this.destination = server.destination(destinationNumber);
             this.messages = messages;
-            this.together = together;
+            this.bulk = bulk;
         }
 
         private void admit() {
-            messages.forEach(server.checks()::begins);
+            messages.forEach(server.ruleChecker()::startCall);
             if (destination.isHung()) {
                 return;
             }
-            final Destination.Admission admission = destination.arrive(server.nowNs(), messages.size());
-            taken = admission.taken();
-            waitNs = admission.waitNs();
-            if (taken == 0) {
-                turnAway();
+            final Destination.Admission admission = destination.admit(server.nowNs(), messages.size());
+            admittedCount = admission.admitted();
+            retryAfterNs = admission.retryAfterNs();
+            if (admittedCount == 0) {
+                reject();
             } else {
                 destination.start(this);
             }
         }
 
-        private void turnAway() {
-            leave();
-            final boolean told = waitNs > 0 && server.settingsOf(number).retryAfter();
-            answer(
-                    told ? HttpResponseStatus.TOO_MANY_REQUESTS : HttpResponseStatus.SERVICE_UNAVAILABLE,
+        private void reject() {
+            end();
+            final boolean sendsRetryAfter = retryAfterNs > 0 && server.settingsOf(destinationNumber).sendsRetryAfter();
+            respond(
+                    sendsRetryAfter ? HttpResponseStatus.TOO_MANY_REQUESTS : HttpResponseStatus.SERVICE_UNAVAILABLE,
                     "",
-                    told ? waitNs : 0);
+                    sendsRetryAfter ? retryAfterNs : 0);
         }
 
         @Override
         public void run() {
             hasSlot = true;
-            messages.subList(0, taken).forEach(server.checks()::runs);
-            context().executor().schedule(this::done, server.latencyNs(number), TimeUnit.NANOSECONDS);
+            messages.subList(0, admittedCount).forEach(server.ruleChecker()::startExecution);
+            context().executor().schedule(this::complete, server.latencyNs(destinationNumber), TimeUnit.NANOSECONDS);
         }
 
-        private void done() {
-            if (over || destination.isHung()) {
+        private void complete() {
+            if (ended || destination.isHung()) {
                 return;
             }
-            leave();
-            destination.finish(taken);
-            messages.subList(0, taken).forEach(message -> server.accepted(message.id()));
-            answer(HttpResponseStatus.OK, together ? states() : "", together ? waitNs : 0);
+            end();
+            destination.finish(admittedCount);
+            messages.subList(0, admittedCount).forEach(message -> server.notifyAccepted(message.id()));
+            respond(HttpResponseStatus.OK, bulk ? messageStates() : "", bulk ? retryAfterNs : 0);
         }
 
-        private String states() {
+        private String messageStates() {
             final ArrayNode states = JSON.createArrayNode();
             for (int index = 0; index < messages.size(); index++) {
                 states.addObject()
                         .put("id", messages.get(index).id())
-                        .put("state", index < taken ? "accepted" : "deferred");
+                        .put("state", index < admittedCount ? "accepted" : "deferred");
             }
             return states.toString();
         }
 
-        /** The courier has closed the connection: the slot is free. */
-        private void giveUp() {
-            if (over) {
+        /** The courier has closed the connection: frees the slot or the place in the queue. */
+        private void abandon() {
+            if (ended) {
                 return;
             }
-            leave();
+            end();
             if (hasSlot) {
                 destination.finish(0);
             } else {
-                destination.withdraw(this);
+                destination.cancel(this);
             }
         }
 
-        private void leave() {
-            over = true;
-            current = null;
-            messages.forEach(server.checks()::ends);
+        private void end() {
+            ended = true;
+            currentCall = null;
+            messages.forEach(server.ruleChecker()::endCall);
         }
     }
 }
--- a/src/main/java/railspar/scale/standin/DestinationServer.java
+++ b/src/main/java/railspar/scale/standin/DestinationServer.java
@@ -25,13 +25,13 @@
 import java.util.function.LongSupplier;
 
 /**
- * A stand-in of many destinations on a few ports of loopback. What a call is for is known by its messages' ids, which
- * whoever plays the clients registers before handing them in. All calls are served on one event loop; the methods may
- * be called from any thread.
+ * Simulates many destinations on a few loopback ports. The destination of a call is found by the ids of its messages,
+ * which must be registered before a client submits them. All calls are served on one event loop; the methods may be
+ * called from any thread.
  */
 public final class DestinationServer implements AutoCloseable {
-    /** Bodies are bound by the protocol; several of them come in Base64 with their keys. */
-    private static final int MOST_CALL_BYTES = 1 << 17;
+    /** Room for the largest call: the protocol limits each body, and a bulk call has several, in Base64 with keys. */
+    private static final int MAX_CALL_BYTES = 1 << 17;
 
     private final LongFunction<DestinationSettings> settings;
     private final LongSupplier clockNs;
@@ -42,15 +42,15 @@
     private final List<LoopbackListener> listeners = new ArrayList<>();
     private final Map<Long, Destination> destinations = new HashMap<>();
     private final Set<DestinationConnection> connections = new HashSet<>();
-    private final CallChecks checks = new CallChecks();
+    private final CallRuleChecker ruleChecker = new CallRuleChecker();
     private final List<Consumer<String>> acceptedListeners = new CopyOnWriteArrayList<>();
 
     /**
-     * Listens at so many ports.
+     * Starts listening on loopback.
      *
-     * @param ports how many ports to listen at
-     * @param settings what each destination bears
-     * @param seed decides how long each call runs
+     * @param ports number of ports to listen on
+     * @param settings the settings of each destination, by its number
+     * @param seed determines the execution times of the calls
      */
     public DestinationServer(final int ports, final LongFunction<DestinationSettings> settings, final long seed) {
         this(ports, settings, seed, System::nanoTime);
@@ -71,54 +71,54 @@
                     channel.pipeline()
                             .addLast(
                                     new HttpServerCodec(),
-                                    new HttpObjectAggregator(MOST_CALL_BYTES),
+                                    new HttpObjectAggregator(MAX_CALL_BYTES),
                                     new DestinationConnection(DestinationServer.this));
                 }
             }));
         }
     }
 
-    /** Where it listens. */
+    /** The addresses that it listens on. */
     public List<InetSocketAddress> addresses() {
         return listeners.stream().map(LoopbackListener::address).toList();
     }
 
-    /** The entry as it is dialled here, at the address of that number, which serves its destination from now on. */
-    public EndpointEntry place(final EndpointEntry entry, final int address) {
-        final InetSocketAddress at = addresses().get(address);
-        checks.serves(entry.block(), at);
-        return entry.withDial(at.getAddress().getHostAddress() + ":" + at.getPort());
+    /** Makes the endpoint reachable at the address with the index, and returns its entry with that address. */
+    public EndpointEntry addEndpoint(final EndpointEntry entry, final int addressIndex) {
+        final InetSocketAddress dialAddress = addresses().get(addressIndex);
+        ruleChecker.addEndpoint(entry.block(), dialAddress);
+        return entry.withDial(dialAddress.getAddress().getHostAddress() + ":" + dialAddress.getPort());
     }
 
-    /** All endpoints of a destination at the address of that number drain from now on. */
-    public void drain(final long destination, final int address) {
-        checks.drains(destination, addresses().get(address), clockNs.getAsLong());
+    /** Marks all endpoints of a destination at the address with the index as draining from now on. */
+    public void startDrain(final long destination, final int addressIndex) {
+        ruleChecker.startDrain(destination, addresses().get(addressIndex), clockNs.getAsLong());
     }
 
-    /** A client is about to hand this message in. */
+    /** Registers a message that a client is about to submit. */
     public void register(final RegisteredMessage message) {
-        checks.register(message);
+        ruleChecker.register(message);
     }
 
-    /** A message is over, and a call with it would be one too many. */
+    /** Removes a message that has ended; a further call with it counts as a violation. */
     public void forget(final String id) {
-        checks.forget(id);
+        ruleChecker.forget(id);
     }
 
-    /** Calls this with the id of each message that is accepted, on the event loop and before the answer is written. */
+    /** Adds a listener for accepted message ids, called on the event loop before the response is written. */
     public void onAccepted(final Consumer<String> listener) {
         acceptedListeners.add(listener);
     }
 
-    /** From now on a destination answers no call, or answers again. */
-    public void hang(final long destination, final boolean hangs) {
+    /** Sets whether a destination leaves all calls unanswered. */
+    public void setHung(final long destination, final boolean hanging) {
         onLoop(() -> {
-            destination(destination).hang(hangs);
+            destination(destination).setHung(hanging);
             return null;
         });
     }
 
-    /** An outage of a destination ends now: it is cold. */
+    /** Ends an outage of a destination: its warm-up starts now. */
     public void recover(final long destination) {
         onLoop(() -> {
             destination(destination).recover(clockNs.getAsLong());
@@ -126,12 +126,12 @@
         });
     }
 
-    /** What a destination has seen so far. */
+    /** The counts of a destination so far. */
     public DestinationCounts counts(final long destination) {
         return onLoop(() -> destination(destination).counts());
     }
 
-    /** What all destinations that had a call have seen so far, by their numbers. */
+    /** The counts so far of all destinations that had a call, by destination number. */
     public Map<Long, DestinationCounts> counts() {
         return onLoop(() -> {
             final Map<Long, DestinationCounts> counts = new HashMap<>();
@@ -140,9 +140,9 @@
         });
     }
 
-    /** Calls so far that a courier may not make. */
-    public CallFaults faults() {
-        return onLoop(checks::faults);
+    /** The violations of the delivery rules so far. */
+    public CallViolations violations() {
+        return onLoop(ruleChecker::violations);
     }
 
     private <T> T onLoop(final Callable<T> work) {
@@ -150,28 +150,28 @@
     }
 
     Destination destination(final long number) {
-        return destinations.computeIfAbsent(number, unknown -> new Destination(settings.apply(unknown)));
+        return destinations.computeIfAbsent(number, added -> new Destination(settings.apply(added)));
     }
 
     DestinationSettings settingsOf(final long destination) {
         return settings.apply(destination);
     }
 
-    CallChecks checks() {
-        return checks;
+    CallRuleChecker ruleChecker() {
+        return ruleChecker;
     }
 
     long nowNs() {
         return clockNs.getAsLong();
     }
 
-    /** How long the next call of a destination runs: drawn from a log-normal distribution. */
+    /** Draws the execution time of the next call of a destination from a log-normal distribution. */
     long latencyNs(final long destination) {
-        final DestinationSettings bears = settings.apply(destination);
-        return (long) (bears.medianLatency().toNanos() * Math.exp(bears.latencySpread() * random.nextGaussian()));
+        final DestinationSettings latency = settings.apply(destination);
+        return (long) (latency.medianLatency().toNanos() * Math.exp(latency.latencySigma() * random.nextGaussian()));
     }
 
-    void accepted(final String id) {
+    void notifyAccepted(final String id) {
         acceptedListeners.forEach(listener -> listener.accept(id));
     }
 
--- a/src/main/java/railspar/scale/standin/DiscoveryConnection.java
+++ b/src/main/java/railspar/scale/standin/DiscoveryConnection.java
@@ -22,30 +22,30 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 
-/** One connection to the stand-in of discovery; all of it runs on the server's event loop. */
+/** One connection to the simulated discovery agent. All of it runs on the server's event loop. */
 final class DiscoveryConnection extends HttpConnection {
     private static final String LIST_PATH = "/discovery/hosts";
     private static final String OUTCOMES_PATH = "/v1/outcomes";
     private static final byte[] EMPTY_LINE = {'\n'};
-    /** Lines are written in pieces of this size, so that what a broken connection took is counted closely. */
+    /** Lines are written in pieces of this size, so that the byte count of a broken connection is nearly exact. */
     private static final int PIECE_BYTES = 1 << 16;
 
     private final DiscoveryServer server;
     private final TrafficCounter counter;
-    /** A request for the list that waits until discovery is available, or null. */
-    private QueryStringDecoder waiting;
+    /** A request for the list that waits for discovery to become available, or null. */
+    private QueryStringDecoder pendingRequest;
 
     private boolean watching;
-    /** A line without an end is being sent, and nothing else follows. */
-    private boolean endless;
+    /** True while an endless line is being sent; nothing else follows it. */
+    private boolean sendingEndlessLine;
 
-    private long endlessEntries;
-    /** The first line has not been sent yet. */
-    private boolean first;
-    /** The version that the other side has. */
-    private long version;
+    private long endlessEntryCount;
+    /** True until the first line of the watch has been sent. */
+    private boolean firstLinePending;
+    /** The list version that the client of the watch has. */
+    private long sentVersion;
 
-    private ScheduledFuture<?> heartbeat;
+    private ScheduledFuture<?> heartbeatTask;
 
     DiscoveryConnection(final DiscoveryServer server, final TrafficCounter counter) {
         this.server = server;
@@ -60,8 +60,8 @@
     @Override
     void closed() {
         server.closed(this);
-        if (heartbeat != null) {
-            heartbeat.cancel(false);
+        if (heartbeatTask != null) {
+            heartbeatTask.cancel(false);
         }
     }
 
@@ -69,27 +69,27 @@
     protected void channelRead0(final ChannelHandlerContext ctx, final FullHttpRequest request) {
         final QueryStringDecoder target = new QueryStringDecoder(request.uri());
         if (request.decoderResult().isFailure()) {
-            answer(HttpResponseStatus.BAD_REQUEST);
+            respond(HttpResponseStatus.BAD_REQUEST);
         } else if (request.method().equals(HttpMethod.POST) && target.path().equals(OUTCOMES_PATH)) {
-            takeOutcomes(request.content().toString(StandardCharsets.UTF_8));
+            receiveOutcomes(request.content().toString(StandardCharsets.UTF_8));
         } else if (request.method().equals(HttpMethod.GET) && target.path().equals(LIST_PATH)) {
-            waiting = target;
-            tell();
+            pendingRequest = target;
+            sendPending();
         } else {
-            answer(HttpResponseStatus.NOT_FOUND);
+            respond(HttpResponseStatus.NOT_FOUND);
         }
     }
 
-    private void takeOutcomes(final String body) {
+    private void receiveOutcomes(final String body) {
         try {
-            server.noticed(Outcome.parseLines(body));
-            answer(HttpResponseStatus.NO_CONTENT);
+            server.receiveOutcomes(Outcome.parseLines(body));
+            respond(HttpResponseStatus.NO_CONTENT);
         } catch (final IOException e) {
-            answer(HttpResponseStatus.BAD_REQUEST);
+            respond(HttpResponseStatus.BAD_REQUEST);
         }
     }
 
-    private void answer(final HttpResponseStatus status) {
+    private void respond(final HttpResponseStatus status) {
         final DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status);
         if (!status.equals(HttpResponseStatus.NO_CONTENT)) {
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
@@ -97,31 +97,31 @@
         context().writeAndFlush(response);
     }
 
-    /** Says what there is to say just now: the answer to a request, or what has changed. */
-    void tell() {
-        if (waiting != null && server.mode() != DiscoveryMode.UNAVAILABLE) {
-            final QueryStringDecoder target = waiting;
-            waiting = null;
+    /** Sends what is due now: the response to a waiting request, and the changes that the watch has not had. */
+    void sendPending() {
+        if (pendingRequest != null && server.mode() != DiscoveryMode.UNAVAILABLE) {
+            final QueryStringDecoder target = pendingRequest;
+            pendingRequest = null;
             if (target.parameters().containsKey("watch")) {
-                beginWatch(number(target, "after"));
+                startWatch(longParameter(target, "after"));
             } else {
-                answerList();
+                sendList();
             }
         }
         if (watching
-                && !endless
-                && server.mode().tellsChanges()
+                && !sendingEndlessLine
+                && server.mode().sendsUpdates()
                 && context().channel().isWritable()) {
-            if (first) {
-                first = false;
-                tellFirst();
-            } else if (version < server.history().version()) {
-                tellChanges();
+            if (firstLinePending) {
+                firstLinePending = false;
+                sendFirstLine();
+            } else if (sentVersion < server.history().version()) {
+                sendChanges();
             }
         }
     }
 
-    private static long number(final QueryStringDecoder target, final String name) {
+    private static long longParameter(final QueryStringDecoder target, final String name) {
         final List<String> values = target.parameters().getOrDefault(name, List.of());
         try {
             return values.isEmpty() ? 0 : Long.parseLong(values.get(0));
@@ -130,100 +130,103 @@
         }
     }
 
-    private void answerList() {
-        final ByteBuf list = server.share(server.history().lineAfter(0));
+    private void sendList() {
+        final ByteBuf list = server.sharedBuffer(server.history().lineAfter(0));
         final DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         head.headers()
                 .set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON)
                 .set(HttpHeaderNames.CONTENT_LENGTH, list.readableBytes());
-        counter.sentWholeList();
+        counter.countWholeList();
         context().write(head);
-        writePieces(list);
+        writeInPieces(list);
         context().writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
     }
 
-    private void beginWatch(final long after) {
+    private void startWatch(final long afterVersion) {
         watching = true;
-        first = true;
-        version = after;
+        firstLinePending = true;
+        sentVersion = afterVersion;
         final DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         head.headers()
                 .set(HttpHeaderNames.CONTENT_TYPE, "application/x-ndjson")
                 .set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         context().writeAndFlush(head);
-        final long periodMs = server.heartbeat().toMillis();
-        heartbeat = context().executor().scheduleAtFixedRate(this::beat, periodMs, periodMs, TimeUnit.MILLISECONDS);
+        final long periodMs = server.heartbeatInterval().toMillis();
+        heartbeatTask = context()
+                .executor()
+                .scheduleAtFixedRate(this::sendHeartbeat, periodMs, periodMs, TimeUnit.MILLISECONDS);
     }
 
-    private void beat() {
-        if (server.mode().tellsChanges() && !endless && context().channel().isWritable()) {
+    private void sendHeartbeat() {
+        if (server.mode().sendsUpdates() && !sendingEndlessLine && context().channel().isWritable()) {
             write(Unpooled.wrappedBuffer(EMPTY_LINE));
         }
     }
 
-    private void tellFirst() {
+    private void sendFirstLine() {
         final ListHistory history = server.history();
-        final long known = history.version();
+        final long currentVersion = history.version();
         switch (server.mode()) {
-            case FIRST_LINE_BREAKS_OFF -> {
-                final ByteBuf list = server.share(history.lineAfter(0));
-                counter.sentWholeList();
-                writePieces(list.writerIndex(list.readableBytes() / 2));
+            case FIRST_LINE_TRUNCATED -> {
+                final ByteBuf list = server.sharedBuffer(history.lineAfter(0));
+                counter.countWholeList();
+                writeInPieces(list.writerIndex(list.readableBytes() / 2));
                 context().writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
             }
-            case FIRST_LINE_NEVER_ENDS -> {
-                endless = true;
-                counter.sentWholeList();
+            case FIRST_LINE_ENDLESS -> {
+                sendingEndlessLine = true;
+                counter.countWholeList();
                 write(Unpooled.copiedBuffer(
-                        "{\"seq\":" + known + ",\"whole\":true,\"hosts\":[", StandardCharsets.UTF_8));
+                        "{\"seq\":" + currentVersion + ",\"whole\":true,\"hosts\":[", StandardCharsets.UTF_8));
                 writeEndless();
             }
-            case FIRST_LINE_REPEATS_AN_ENTRY -> {
+            case FIRST_LINE_DUPLICATE_ENTRY -> {
                 final List<EndpointEntry> entries = new ArrayList<>(history.entries());
                 entries.add(entries.get(0).withHealth(EndpointEntry.Health.TERMINATING));
-                tellWhole(known, ListLines.encode(known, true, entries));
+                sendWholeList(currentVersion, ListEncoder.encode(currentVersion, true, entries));
             }
-            case FIRST_LINE_OLDER_VERSION -> {
-                final long older = Math.max(0, Math.min(version, known) - 1);
-                tellWhole(known, ListLines.encode(older, true, history.entries()));
+            case FIRST_LINE_STALE_VERSION -> {
+                final long olderVersion = Math.max(0, Math.min(sentVersion, currentVersion) - 1);
+                sendWholeList(currentVersion, ListEncoder.encode(olderVersion, true, history.entries()));
             }
-            case FIRST_LINE_INDENTED -> tellWhole(known, ListLines.encodeIndented(known, true, history.entries()));
+            case FIRST_LINE_INDENTED -> sendWholeList(
+                    currentVersion, ListEncoder.encodeIndented(currentVersion, true, history.entries()));
             default -> {
-                if (version == known) {
+                if (sentVersion == currentVersion) {
                     write(Unpooled.wrappedBuffer(EMPTY_LINE));
                 } else {
-                    tellChanges();
+                    sendChanges();
                 }
             }
         }
     }
 
-    private void tellWhole(final long reached, final byte[] line) {
-        version = reached;
-        counter.sentWholeList();
-        writePieces(Unpooled.wrappedBuffer(line));
+    private void sendWholeList(final long newVersion, final byte[] line) {
+        sentVersion = newVersion;
+        counter.countWholeList();
+        writeInPieces(Unpooled.wrappedBuffer(line));
         context().flush();
     }
 
-    private void tellChanges() {
-        final ListHistory.Update update = server.history().updateAfter(version);
-        version = update.version();
+    private void sendChanges() {
+        final ListHistory.Update update = server.history().updateAfter(sentVersion);
+        sentVersion = update.version();
         if (update.whole()) {
-            counter.sentWholeList();
-            writePieces(server.share(update.line()));
+            counter.countWholeList();
+            writeInPieces(server.sharedBuffer(update.line()));
         } else {
-            counter.sentChanges();
-            writePieces(Unpooled.wrappedBuffer(update.line()));
+            counter.countChangeLine();
+            writeInPieces(Unpooled.wrappedBuffer(update.line()));
         }
         context().flush();
     }
 
-    /** Writes entries of endpoints that do not exist for as long as the other side reads them. */
+    /** Writes entries of non-existent endpoints for as long as the client reads them. */
     private void writeEndless() {
         while (context().channel().isWritable() && context().channel().isActive()) {
             final StringBuilder entries = new StringBuilder(PIECE_BYTES);
             while (entries.length() < PIECE_BYTES) {
-                final long number = endlessEntries++;
+                final long number = endlessEntryCount++;
                 entries.append("{\"host\":\"endless-")
                         .append(number)
                         .append("\",\"dial\":\"127.0.0.1:9\",\"site\":\"none\",\"class\":\"std\",\"block\":")
@@ -236,12 +239,12 @@
 
     @Override
     public void channelWritabilityChanged(final ChannelHandlerContext ctx) {
-        // Not from within a write, which would go deeper with each piece.
+        // Scheduled instead of called: from within a write, the call stack would grow with each piece.
         ctx.executor().execute(() -> {
-            if (endless) {
+            if (sendingEndlessLine) {
                 writeEndless();
             } else {
-                tell();
+                sendPending();
             }
         });
     }
@@ -250,8 +253,8 @@
         context().writeAndFlush(new DefaultHttpContent(bytes));
     }
 
-    /** Writes a line, which it releases, without flushing it. */
-    private void writePieces(final ByteBuf line) {
+    /** Writes a line in pieces without flushing, and releases it. */
+    private void writeInPieces(final ByteBuf line) {
         while (line.isReadable()) {
             context()
                     .write(new DefaultHttpContent(line.readRetainedSlice(Math.min(PIECE_BYTES, line.readableBytes()))));
--- a/src/main/java/railspar/scale/standin/DiscoveryMode.java
+++ b/src/main/java/railspar/scale/standin/DiscoveryMode.java
@@ -1,25 +1,25 @@
 package railspar.scale.standin;
 
-/** How a stand-in of discovery behaves. */
+/** How the simulated discovery agent behaves. */
 public enum DiscoveryMode {
-    /** It answers and tells changes. */
+    /** It responds and sends changes. */
     NORMAL,
-    /** It accepts connections and says nothing about the list, on standing watches neither; notices are answered. */
+    /** It accepts connections but sends nothing of the list, not even on open watches; notices are answered. */
     UNAVAILABLE,
-    /** Watches fall silent: what stands and what is asked for anew gets its head and no line any more. */
+    /** Open watches get no further lines; new watches get the response head and no lines. */
     SILENT_WATCHES,
-    /** The first line of a watch breaks off half-way, and its connection ends. */
-    FIRST_LINE_BREAKS_OFF,
-    /** The first line of a watch goes on without an end. */
-    FIRST_LINE_NEVER_ENDS,
-    /** The first line of a watch is a whole list that names one endpoint twice. */
-    FIRST_LINE_REPEATS_AN_ENTRY,
-    /** The first line of a watch is a whole list of an older version than the one that was asked for. */
-    FIRST_LINE_OLDER_VERSION,
-    /** The first line of a watch is a whole list over several lines. */
+    /** The first line of a watch is cut off half-way, and its connection is closed. */
+    FIRST_LINE_TRUNCATED,
+    /** The first line of a watch never ends. */
+    FIRST_LINE_ENDLESS,
+    /** The first line of a watch is a whole list that contains one endpoint twice. */
+    FIRST_LINE_DUPLICATE_ENTRY,
+    /** The first line of a watch is a whole list of an older version than the requested one. */
+    FIRST_LINE_STALE_VERSION,
+    /** The first line of a watch is a whole list that is pretty-printed over several lines. */
     FIRST_LINE_INDENTED;
 
-    boolean tellsChanges() {
+    boolean sendsUpdates() {
         return this != UNAVAILABLE && this != SILENT_WATCHES;
     }
 }
--- a/src/main/java/railspar/scale/standin/DiscoveryServer.java
+++ b/src/main/java/railspar/scale/standin/DiscoveryServer.java
@@ -23,24 +23,25 @@
 import java.util.function.Consumer;
 
 /**
- * A stand-in of discovery and of the platform's notices on loopback: {@code GET /discovery/hosts}, watches on it, and
- * {@code POST /v1/outcomes}. All connections live on one event loop; the methods may be called from any thread.
+ * Simulates the discovery agent and the platform that receives notices, on loopback: {@code GET /discovery/hosts},
+ * watches on it, and {@code POST /v1/outcomes}. All connections run on one event loop; the methods may be called from
+ * any thread.
  */
 public final class DiscoveryServer implements AutoCloseable {
-    /** How often a watch without news gets an empty line. */
-    public static final Duration HEARTBEAT = Duration.ofSeconds(2);
-    /** After a move, how long the connections to the old address stay open. */
+    /** Interval at which watches get an empty line as a heartbeat. */
+    public static final Duration HEARTBEAT_INTERVAL = Duration.ofSeconds(2);
+    /** How long connections to the old address stay open after a move. */
     public static final Duration MOVE_GRACE = Duration.ofMillis(1500);
 
-    private static final int MOST_REQUEST_BYTES = 1 << 16;
+    private static final int MAX_REQUEST_BYTES = 1 << 16;
 
     private final ListHistory history;
-    private final Duration heartbeat;
+    private final Duration heartbeatInterval;
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("discovery", true), NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final Runnable onChange = this::tellAll;
-    private final AtomicLong accepted = new AtomicLong();
+    private final Runnable changeListener = this::sendPendingToAll;
+    private final AtomicLong acceptedConnections = new AtomicLong();
     private final List<TrafficCounter> counters = new CopyOnWriteArrayList<>();
     private final List<Consumer<Outcome>> outcomeListeners = new CopyOnWriteArrayList<>();
     /** Guarded by itself. */
@@ -49,102 +50,104 @@
     private final Set<DiscoveryConnection> connections = new HashSet<>();
     private volatile DiscoveryMode mode = DiscoveryMode.NORMAL;
     private volatile LoopbackListener listener;
-    /** The line that is sent to many, outside the heap so that each connection writes it without a copy. */
+    /** The line that many connections send, off the heap so that each connection writes it without a copy. */
     private ByteBuf sharedLine = Unpooled.EMPTY_BUFFER;
 
     private byte[] sharedLineSource;
 
-    /** Serves this history at a port of the system's choice. */
+    /** Serves the history on a free port. */
     public DiscoveryServer(final ListHistory history) {
-        this(history, HEARTBEAT);
+        this(history, HEARTBEAT_INTERVAL);
     }
 
-    /** Serves this history, with empty lines as often as this. */
-    public DiscoveryServer(final ListHistory history, final Duration heartbeat) {
+    /** Serves the history on a free port, with its own heartbeat interval. */
+    public DiscoveryServer(final ListHistory history, final Duration heartbeatInterval) {
         this.history = history;
-        this.heartbeat = heartbeat;
+        this.heartbeatInterval = heartbeatInterval;
         this.listener = listen();
-        history.addListener(onChange);
+        history.addListener(changeListener);
     }
 
     private LoopbackListener listen() {
         return new LoopbackListener(group, new ChannelInitializer<>() {
             @Override
             protected void initChannel(final Channel channel) {
-                final TrafficCounter counter = new TrafficCounter(accepted.incrementAndGet());
+                final TrafficCounter counter = new TrafficCounter(acceptedConnections.incrementAndGet());
                 counters.add(counter);
                 channel.pipeline()
                         .addLast(
                                 counter,
                                 new HttpServerCodec(),
-                                new HttpObjectAggregator(MOST_REQUEST_BYTES),
+                                new HttpObjectAggregator(MAX_REQUEST_BYTES),
                                 new DiscoveryConnection(DiscoveryServer.this, counter));
             }
         });
     }
 
-    /** Where it listens. */
+    /** The address that it listens on. */
     public InetSocketAddress address() {
         return listener.address();
     }
 
-    /** How it behaves now. */
+    /** The current behaviour. */
     public DiscoveryMode mode() {
         return mode;
     }
 
-    /** Changes how it behaves. Once it tells changes again, watches and open requests hear what they missed. */
-    public void mode(final DiscoveryMode changed) {
-        mode = changed;
-        tellAll();
+    /** Changes the behaviour. Once updates are sent again, watches and waiting requests get what they missed. */
+    public void setMode(final DiscoveryMode newMode) {
+        mode = newMode;
+        sendPendingToAll();
     }
 
-    /** Is unavailable for so long, and normal after that. */
-    public void outage(final Duration length) {
-        mode(DiscoveryMode.UNAVAILABLE);
-        loop.schedule(() -> mode(DiscoveryMode.NORMAL), length.toMillis(), TimeUnit.MILLISECONDS);
+    /** Becomes unavailable for the given time, and normal after that. */
+    public void outage(final Duration duration) {
+        setMode(DiscoveryMode.UNAVAILABLE);
+        loop.schedule(() -> setMode(DiscoveryMode.NORMAL), duration.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Moves to another port. The old address takes no connection from now on, and its connections end after
-     * {@link #MOVE_GRACE}.
+     * Moves to another port. The old address refuses new connections from now on, and open connections are closed
+     * after {@link #MOVE_GRACE}.
      */
     public InetSocketAddress move() {
         final LoopbackListener old = listener;
         listener = listen();
         old.close();
         loop.execute(() -> {
-            final List<DiscoveryConnection> toOld = List.copyOf(connections);
+            final List<DiscoveryConnection> oldConnections = List.copyOf(connections);
             loop.schedule(
-                    () -> toOld.forEach(DiscoveryConnection::close), MOVE_GRACE.toMillis(), TimeUnit.MILLISECONDS);
+                    () -> oldConnections.forEach(DiscoveryConnection::close),
+                    MOVE_GRACE.toMillis(),
+                    TimeUnit.MILLISECONDS);
         });
         return address();
     }
 
-    /** Ends all connections that stand now. */
+    /** Closes all open connections. */
     public void disconnectAll() {
         loop.submit(() -> List.copyOf(connections).forEach(DiscoveryConnection::close))
                 .syncUninterruptibly();
     }
 
-    /** What went over each connection so far, in the order in which they were accepted. */
+    /** The traffic of each connection so far, in the order of acceptance. */
     public List<ConnectionTraffic> traffic() {
         return counters.stream().map(TrafficCounter::snapshot).toList();
     }
 
-    /** Calls this with each notice that comes, on the event loop. */
+    /** Adds a listener for received notices, which is called on the event loop. */
     public void onOutcome(final Consumer<Outcome> listener) {
         outcomeListeners.add(listener);
     }
 
-    /** The notices that have come, in their order. */
+    /** The notices received so far, in the order of arrival. */
     public List<Outcome> outcomes() {
         synchronized (outcomes) {
             return List.copyOf(outcomes);
         }
     }
 
-    /** How many notices have come. */
+    /** The number of notices received so far. */
     public int outcomeCount() {
         synchronized (outcomes) {
             return outcomes.size();
@@ -153,23 +156,23 @@
 
     @Override
     public void close() {
-        history.removeListener(onChange);
+        history.removeListener(changeListener);
         listener.close();
         disconnectAll();
         loop.submit(() -> sharedLine.release()).syncUninterruptibly();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    private void tellAll() {
-        loop.execute(() -> connections.forEach(DiscoveryConnection::tell));
+    private void sendPendingToAll() {
+        loop.execute(() -> connections.forEach(DiscoveryConnection::sendPending));
     }
 
     ListHistory history() {
         return history;
     }
 
-    Duration heartbeat() {
-        return heartbeat;
+    Duration heartbeatInterval() {
+        return heartbeatInterval;
     }
 
     void opened(final DiscoveryConnection connection) {
@@ -180,15 +183,15 @@
         connections.remove(connection);
     }
 
-    void noticed(final List<Outcome> fresh) {
+    void receiveOutcomes(final List<Outcome> received) {
         synchronized (outcomes) {
-            outcomes.addAll(fresh);
+            outcomes.addAll(received);
         }
-        fresh.forEach(outcome -> outcomeListeners.forEach(listener -> listener.accept(outcome)));
+        received.forEach(outcome -> outcomeListeners.forEach(listener -> listener.accept(outcome)));
     }
 
-    /** The line as a buffer that the caller releases; on the event loop only. */
-    ByteBuf share(final byte[] line) {
+    /** The line as a buffer, which the caller releases. Called on the event loop only. */
+    ByteBuf sharedBuffer(final byte[] line) {
         if (sharedLineSource != line) {
             sharedLine.release();
             sharedLine = Unpooled.directBuffer(line.length).writeBytes(line);
--- a/src/main/java/railspar/scale/standin/EndpointEntry.java
+++ b/src/main/java/railspar/scale/standin/EndpointEntry.java
@@ -4,26 +4,26 @@
 import java.io.IOException;
 
 /**
- * One entry of the endpoint list, with the fields that discovery sends.
+ * An entry of the endpoint list, with the fields that discovery sends.
  *
- * @param host the name of the endpoint, the same for every courier
+ * @param host the endpoint's name, the same for all couriers
  * @param dial the address to connect to, as {@code host:port}
- * @param site the zone of the endpoint
- * @param kind the kind of machine, sent as {@code class}
+ * @param site the endpoint's zone
+ * @param kind the type of machine, sent as {@code class}
  * @param block the number of the destination that the endpoint serves
- * @param health whether it takes new calls
+ * @param health whether it accepts new calls
  * @param share its share of the destination's traffic
- * @param bornMs when it last started, as Unix time in milliseconds; 0 for long ago
+ * @param bornMs when it last started, as Unix time in milliseconds; 0 means long ago
  */
 public record EndpointEntry(
         String host, String dial, String site, String kind, long block, Health health, double share, long bornMs) {
-    /** What discovery says of an endpoint's health. */
+    /** An endpoint's health as discovery reports it. */
     public enum Health {
-        /** It takes calls. */
+        /** It accepts calls. */
         READY("Ready"),
-        /** It finishes the calls that it has and takes no new ones. */
+        /** It finishes its calls in progress and accepts no new ones. */
         TERMINATING("Terminating"),
-        /** It has left the list; appears in changes only. */
+        /** It was removed from the list; appears in changes only. */
         GONE("Gone");
 
         private final String wireName;
@@ -32,23 +32,23 @@
             this.wireName = wireName;
         }
 
-        /** The word that stands for it in the list. */
+        /** The value of the field in the list. */
         public String wireName() {
             return wireName;
         }
     }
 
-    /** The same endpoint with another health. */
-    public EndpointEntry withHealth(final Health changed) {
-        return new EndpointEntry(host, dial, site, kind, block, changed, share, bornMs);
+    /** A copy with another health. */
+    public EndpointEntry withHealth(final Health newHealth) {
+        return new EndpointEntry(host, dial, site, kind, block, newHealth, share, bornMs);
     }
 
-    /** The same endpoint, dialled elsewhere. */
-    public EndpointEntry withDial(final String changed) {
-        return new EndpointEntry(host, changed, site, kind, block, health, share, bornMs);
+    /** A copy with another address. */
+    public EndpointEntry withDial(final String newDial) {
+        return new EndpointEntry(host, newDial, site, kind, block, health, share, bornMs);
     }
 
-    /** Writes the entry as the protocol's JSON object. */
+    /** Writes the entry as a JSON object of the discovery protocol. */
     public void writeTo(final JsonGenerator json) throws IOException {
         json.writeStartObject();
         json.writeStringField("host", host);
--- a/src/main/java/railspar/scale/standin/FleetPlan.java
+++ b/src/main/java/railspar/scale/standin/FleetPlan.java
@@ -7,16 +7,16 @@
 import java.util.Random;
 
 /**
- * The shape of a fleet and of its surroundings. Everything derived from it is a function of its fields, so two
- * processes with the same plan agree without talking to each other. Destinations and zones are numbered from 0.
+ * The size and layout of a fleet, its destinations and its zones. Everything derived from a plan depends on its fields
+ * alone, so processes with the same plan agree without communicating. Destinations and zones are numbered from 0.
  *
- * @param couriers couriers in the fleet
- * @param destinations destinations in the list
- * @param endpointsPerDestination endpoints of a destination on average, at least 1
+ * @param couriers number of couriers in the fleet
+ * @param destinations number of destinations in the list
+ * @param endpointsPerDestination mean number of endpoints of a destination, at least 1
  * @param downShare share of the destinations that refuse connections
- * @param regions regions, over which the zones are spread evenly
- * @param zones zones in all regions together
- * @param seed decides which destinations are down and how they are spread
+ * @param regions number of regions, over which the zones are distributed evenly
+ * @param zones number of zones in all regions together
+ * @param seed determines which destinations are down and which have an additional endpoint
  */
 public record FleetPlan(
         int couriers,
@@ -26,64 +26,68 @@
         int regions,
         int zones,
         long seed) {
-    /** The one kind of endpoint in the plan. */
+    /** The type of machine of all endpoints in a plan. */
     public static final String KIND = "std";
 
-    private static final double SHARE = 1.0;
+    private static final double TRAFFIC_SHARE = 1.0;
 
-    /** Refuses plans that contradict themselves. */
+    /** Rejects inconsistent plans. */
     public FleetPlan {
         require(couriers >= 1, "at least one courier is needed, not " + couriers);
         require(destinations >= 1, "at least one destination is needed, not " + destinations);
         require(
                 endpointsPerDestination >= 1 && Double.isFinite(endpointsPerDestination),
-                "a destination has at least one endpoint, not " + endpointsPerDestination);
-        require(downShare >= 0 && downShare <= 1, "a share lies between 0 and 1, not " + downShare);
+                "each destination needs at least one endpoint on average, not " + endpointsPerDestination);
+        require(
+                downShare >= 0 && downShare <= 1,
+                "the share of destinations that are down must lie between 0 and 1, not " + downShare);
         require(regions >= 1, "at least one region is needed, not " + regions);
-        require(zones >= regions, "each region has at least one zone: " + zones + " zones, " + regions + " regions");
+        require(
+                zones >= regions,
+                "each region needs at least one zone, not " + zones + " zones for " + regions + " regions");
     }
 
-    private static void require(final boolean condition, final String reason) {
+    private static void require(final boolean condition, final String message) {
         if (!condition) {
-            throw new IllegalArgumentException(reason);
+            throw new IllegalArgumentException(message);
         }
     }
 
-    /** The name of a zone: its region and its own number. */
+    /** The name of a zone, made of the numbers of its region and of the zone. */
     public String zoneName(final int zone) {
         return "r" + regionOf(zone) + "z" + zone;
     }
 
-    /** The region that a zone lies in. */
+    /** The region of a zone. */
     public int regionOf(final int zone) {
         return zone % regions;
     }
 
-    /** The zone that a courier runs in. */
+    /** The zone of a courier. */
     public int zoneOfCourier(final int courier) {
         return courier % zones;
     }
 
-    /** How many endpoints the list has. */
+    /** The number of endpoints in the list. */
     public int endpointCount() {
         return (int) Math.floor(destinations * endpointsPerDestination);
     }
 
-    /** The numbers of the destinations that are down, exactly the plan's share of them. */
+    /** The numbers of the destinations that are down: the plan's share, rounded to a whole number. */
     public BitSet downDestinations() {
         final int[] order = shuffledDestinations(seed);
-        final int down = (int) Math.round(destinations * downShare);
+        final int downCount = (int) Math.round(destinations * downShare);
         final BitSet result = new BitSet(destinations);
-        for (int index = 0; index < down; index++) {
+        for (int index = 0; index < downCount; index++) {
             result.set(order[index]);
         }
         return result;
     }
 
     /**
-     * The whole list, ordered by destination. All endpoints are dialled at the same address.
+     * The whole list, ordered by destination. All endpoints have the same address.
      *
-     * @param dial the address that every entry names
+     * @param dial the address of every endpoint
      */
     public List<EndpointEntry> endpoints(final InetSocketAddress dial) {
         final String address = dial.getAddress().getHostAddress() + ":" + dial.getPort();
@@ -105,18 +109,18 @@
                 KIND,
                 destination,
                 EndpointEntry.Health.READY,
-                SHARE,
+                TRAFFIC_SHARE,
                 0);
     }
 
-    /** Endpoints of each destination: the whole part of the mean, and one more at some drawn at random. */
+    /** The endpoints of each destination: the whole part of the mean, and one more for some drawn at random. */
     private int[] endpointCounts() {
-        final int each = (int) endpointsPerDestination;
-        final int extra = endpointCount() - destinations * each;
+        final int baseCount = (int) endpointsPerDestination;
+        final int extra = endpointCount() - destinations * baseCount;
         final int[] order = shuffledDestinations(~seed);
         final int[] counts = new int[destinations];
         for (int index = 0; index < destinations; index++) {
-            counts[order[index]] = each + (index < extra ? 1 : 0);
+            counts[order[index]] = baseCount + (index < extra ? 1 : 0);
         }
         return counts;
     }
@@ -125,9 +129,9 @@
         final Random random = new Random(orderSeed);
         final int[] order = new int[destinations];
         for (int index = 0; index < destinations; index++) {
-            final int other = random.nextInt(index + 1);
-            order[index] = order[other];
-            order[other] = index;
+            final int swapIndex = random.nextInt(index + 1);
+            order[index] = order[swapIndex];
+            order[swapIndex] = index;
         }
         return order;
     }
--- a/src/main/java/railspar/scale/standin/HttpConnection.java
+++ b/src/main/java/railspar/scale/standin/HttpConnection.java
@@ -4,22 +4,22 @@
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.http.FullHttpRequest;
 
-/** One connection to an HTTP stand-in; all of it runs on the server's event loop. An error ends it. */
+/** One connection to a simulated HTTP server. All of it runs on the server's event loop; an error closes it. */
 abstract class HttpConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
     private ChannelHandlerContext context;
 
-    /** The connection stands. */
+    /** Called once the connection is open. */
     abstract void opened();
 
-    /** The connection has ended. */
+    /** Called once the connection is closed. */
     abstract void closed();
 
-    /** Where answers are written. */
+    /** The channel context, to which responses are written. */
     final ChannelHandlerContext context() {
         return context;
     }
 
-    /** Ends the connection. */
+    /** Closes the connection. */
     final void close() {
         context.close();
     }
--- a/src/main/java/railspar/scale/standin/LedgerReport.java
+++ b/src/main/java/railspar/scale/standin/LedgerReport.java
@@ -1,24 +1,24 @@
 package railspar.scale.standin;
 
 /**
- * What became of the messages that were handed in.
+ * Counts of the submitted messages by outcome, and the times that they took.
  *
- * @param handedIn all of them
- * @param takenOn those that a courier took on
- * @param refused those that it refused, and that may be handed in again
- * @param failed those that it answered otherwise
- * @param noAnswer those that it did not answer in time, and that count for nothing further
- * @param delivered taken on and accepted by their destination
- * @param undeliverable taken on and ended by a notice that they have failed
- * @param deferred taken on and ended by a notice that they may come again
- * @param lost taken on and neither, 300 ms after their time was up
- * @param late taken on and ended later than that
- * @param duplicates times that a message was accepted again
- * @param open taken on, neither, and with time left
- * @param answerP50Ms median time of an answer to a client
- * @param answerP99Ms 99th percentile of it
- * @param deliveryP50Ms median time from handing in to the acceptance
- * @param deliveryP99Ms 99th percentile of it
+ * @param handedIn all submitted messages
+ * @param takenOn messages accepted by a courier
+ * @param refused messages rejected by a courier, which may be submitted again
+ * @param failed messages with any other response
+ * @param noAnswer messages without a response in time, which are left out of all counts below
+ * @param delivered accepted by a courier and by the destination
+ * @param undeliverable accepted by a courier and ended by a notice that they failed
+ * @param deferred accepted by a courier and ended by a notice that they may be submitted again
+ * @param lost accepted by a courier and, 300 ms after their deadline, neither delivered nor ended by a notice
+ * @param late accepted by a courier and delivered or ended by a notice more than 300 ms after their deadline
+ * @param duplicates repeated acceptances of messages by their destinations
+ * @param open accepted by a courier, neither delivered nor ended by a notice, and not yet lost
+ * @param answerP50Ms median time from submission to the courier's response
+ * @param answerP99Ms 99th percentile of the same
+ * @param deliveryP50Ms median time from submission to the first acceptance by the destination
+ * @param deliveryP99Ms 99th percentile of the same
  */
 public record LedgerReport(
         int handedIn,
--- a/src/main/java/railspar/scale/standin/ListLines.java
+++ b/src/main/java/railspar/scale/standin/ListEncoder.java
@@ -7,19 +7,19 @@
 import java.io.UncheckedIOException;
 import java.util.Collection;
 
-/** Encodes the endpoint list as the lines that discovery sends. */
-final class ListLines {
+/** Encodes the endpoint list and its changes as the lines that discovery sends. */
+final class ListEncoder {
     private static final JsonFactory JSON = new JsonFactory();
     private static final int APPROXIMATE_ENTRY_BYTES = 140;
 
-    private ListLines() {}
+    private ListEncoder() {}
 
-    /** A list, or changes of it, on one line with its line feed. */
+    /** Encodes a whole list, or changes to it, as one line with a line feed. */
     static byte[] encode(final long version, final boolean whole, final Collection<EndpointEntry> entries) {
         return encode(version, whole, entries, false);
     }
 
-    /** The same over several lines, as a pretty printer writes it. */
+    /** Encodes the same pretty-printed, over several lines. */
     static byte[] encodeIndented(final long version, final boolean whole, final Collection<EndpointEntry> entries) {
         return encode(version, whole, entries, true);
     }
--- a/src/main/java/railspar/scale/standin/ListHistory.java
+++ b/src/main/java/railspar/scale/standin/ListHistory.java
@@ -9,53 +9,53 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * The endpoint list and its changes, by version, as one discovery service holds them. Lines are encoded once for all
- * that ask for the same one. Thread-safe.
+ * The endpoint list and its changes by version, as a discovery agent keeps them. Each line is encoded once for all
+ * clients that need the same one. Thread-safe.
  */
 public final class ListHistory {
-    /** Versions whose changes are kept; one who asks for older news gets the whole list. */
-    public static final int DEFAULT_VERSIONS_KEPT = 10_000;
+    /** Number of versions whose changes are kept; clients with an older version get the whole list. */
+    public static final int DEFAULT_RETAINED_VERSIONS = 10_000;
 
     private final List<Runnable> listeners = new CopyOnWriteArrayList<>();
-    private final int versionsKept;
+    private final int retainedVersions;
     private final Map<String, EndpointEntry> current = new LinkedHashMap<>();
-    /** What changed with each version. */
+    /** The changed entries of each version. */
     private final NavigableMap<Long, List<EndpointEntry>> changes = new TreeMap<>();
-    /** The encoded changes after a version, until the next change. */
+    /** The encoded changes since each version; cleared by the next change. */
     private final Map<Long, byte[]> changeLines = new HashMap<>();
 
     private byte[] wholeLine;
     private long version = 1;
 
-    /** A history that begins with this list as version 1. */
-    public ListHistory(final List<EndpointEntry> first) {
-        this(first, DEFAULT_VERSIONS_KEPT);
+    /** Creates a history that starts with the list as version 1. */
+    public ListHistory(final List<EndpointEntry> initialEntries) {
+        this(initialEntries, DEFAULT_RETAINED_VERSIONS);
     }
 
-    /** A history that begins with this list as version 1 and keeps the changes of so many versions. */
-    public ListHistory(final List<EndpointEntry> first, final int versionsKept) {
-        if (versionsKept < 1) {
-            throw new IllegalArgumentException("at least one version is kept, not " + versionsKept);
+    /** Creates a history that starts with the list as version 1 and keeps the changes of a number of versions. */
+    public ListHistory(final List<EndpointEntry> initialEntries, final int retainedVersions) {
+        if (retainedVersions < 1) {
+            throw new IllegalArgumentException("at least one version must be kept, not " + retainedVersions);
         }
-        this.versionsKept = versionsKept;
-        first.forEach(entry -> current.put(entry.host(), entry));
+        this.retainedVersions = retainedVersions;
+        initialEntries.forEach(entry -> current.put(entry.host(), entry));
     }
 
     /**
-     * What one who has a version is sent.
+     * The line that brings a client up to date.
      *
-     * @param version the version that the line brings one to
+     * @param version the version that the client has after the line
      * @param whole true for the whole list, false for changes
-     * @param line the line, shared by all who are sent the same one
+     * @param line the encoded line, shared by all clients that get the same one
      */
     public record Update(long version, boolean whole, byte[] line) {}
 
-    /** Calls this after each change, on the thread that made the change. */
+    /** Adds a listener, which is called after each change on the thread that made it. */
     public void addListener(final Runnable listener) {
         listeners.add(listener);
     }
 
-    /** Calls this no more. */
+    /** Removes a listener. */
     public void removeListener(final Runnable listener) {
         listeners.remove(listener);
     }
@@ -65,7 +65,7 @@
         return version;
     }
 
-    /** Endpoints in the newest list. */
+    /** The number of endpoints in the newest list. */
     public synchronized int size() {
         return current.size();
     }
@@ -75,14 +75,14 @@
         return List.copyOf(current.values());
     }
 
-    /** Changes these entries, removes those that are gone, and returns the new version. */
+    /** Adds or replaces the entries, removes those with health GONE, and returns the new version. */
     public long change(final List<EndpointEntry> entries) {
-        final long changed = apply(entries);
+        final long newVersion = recordChange(entries);
         listeners.forEach(Runnable::run);
-        return changed;
+        return newVersion;
     }
 
-    private synchronized long apply(final List<EndpointEntry> entries) {
+    private synchronized long recordChange(final List<EndpointEntry> entries) {
         version++;
         for (final EndpointEntry entry : entries) {
             if (entry.health() == EndpointEntry.Health.GONE) {
@@ -92,7 +92,7 @@
             }
         }
         changes.put(version, List.copyOf(entries));
-        if (changes.size() > versionsKept) {
+        if (changes.size() > retainedVersions) {
             changes.pollFirstEntry();
         }
         changeLines.clear();
@@ -100,38 +100,38 @@
         return version;
     }
 
-    /** True if one who has that version is sent the whole list. */
+    /** True if a client that has the version must get the whole list. */
     public synchronized boolean isWholeAfter(final long after) {
         return after <= 0 || after > version || after < version - changes.size();
     }
 
     /**
-     * The line for one who has that version, in UTF-8 and with its line feed: what changed since, or the whole list.
-     * The array is shared and must not be changed.
+     * The line for a client that has the version, in UTF-8 and with a line feed: the changes since, or the whole list.
+     * The array is shared and must not be modified.
      */
     public synchronized byte[] lineAfter(final long after) {
         if (isWholeAfter(after)) {
             if (wholeLine == null) {
-                wholeLine = ListLines.encode(version, true, current.values());
+                wholeLine = ListEncoder.encode(version, true, current.values());
             }
             return wholeLine;
         }
         return changeLines.computeIfAbsent(after, this::encodeChanges);
     }
 
-    /** The line for one who has that version, with the version that it brings one to. */
+    /** The line for a client that has the version, with the version that it leads to. */
     public synchronized Update updateAfter(final long after) {
         return new Update(version, isWholeAfter(after), lineAfter(after));
     }
 
     private byte[] encodeChanges(final long after) {
-        final Map<String, EndpointEntry> newest = new LinkedHashMap<>();
+        final Map<String, EndpointEntry> latestEntries = new LinkedHashMap<>();
         changes.tailMap(after, false)
                 .values()
                 .forEach(entries -> entries.forEach(entry -> {
-                    newest.remove(entry.host());
-                    newest.put(entry.host(), entry);
+                    latestEntries.remove(entry.host());
+                    latestEntries.put(entry.host(), entry);
                 }));
-        return ListLines.encode(version, false, newest.values());
+        return ListEncoder.encode(version, false, latestEntries.values());
     }
 }
--- a/src/main/java/railspar/scale/standin/LoopbackListener.java
+++ b/src/main/java/railspar/scale/standin/LoopbackListener.java
@@ -14,35 +14,36 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A listening socket on loopback that refuses connections as soon as {@link #close} has returned. It has a selector of
- * its own: the kernel's socket ends only once the selector that it is registered with lets go of it.
+ * A listening socket on loopback that refuses connections once {@link #close} has returned. It has its own selector,
+ * because the kernel closes a socket only once the selector that it is registered with has released it.
  */
 final class LoopbackListener implements AutoCloseable {
     private static final int BACKLOG = 4096;
 
-    private final EventLoopGroup acceptor =
+    private final EventLoopGroup acceptorGroup =
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("acceptor", true), NioIoHandler.newFactory());
     private final InetSocketAddress address;
 
-    /** Listens at a port of the system's choice; connections live in that group. */
-    LoopbackListener(final EventLoopGroup connections, final ChannelInitializer<Channel> initializer) {
-        this(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), connections, initializer);
+    /** Listens on a free port; the accepted connections run on the given event loop group. */
+    LoopbackListener(final EventLoopGroup connectionGroup, final ChannelInitializer<Channel> initializer) {
+        this(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), connectionGroup, initializer);
     }
 
-    /** Listens there, port 0 being one of the system's choice. */
+    /** Listens on the address; port 0 stands for any free port. */
     LoopbackListener(
-            final InetSocketAddress listen,
-            final EventLoopGroup connections,
+            final InetSocketAddress listenAddress,
+            final EventLoopGroup connectionGroup,
             final ChannelInitializer<Channel> initializer) {
-        if (!listen.getAddress().isLoopbackAddress()) {
-            throw new IllegalArgumentException("stand-ins listen on loopback only, not at " + listen);
+        if (!listenAddress.getAddress().isLoopbackAddress()) {
+            throw new IllegalArgumentException(
+                    "simulated servers listen on loopback addresses only, not on " + listenAddress);
         }
         address = (InetSocketAddress) new ServerBootstrap()
-                .group(acceptor, connections)
+                .group(acceptorGroup, connectionGroup)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .childHandler(initializer)
-                .bind(listen)
+                .bind(listenAddress)
                 .syncUninterruptibly()
                 .channel()
                 .localAddress();
@@ -54,6 +55,6 @@
 
     @Override
     public void close() {
-        acceptor.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
+        acceptorGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 }
--- a/src/main/java/railspar/scale/standin/LoopbackPorts.java
+++ b/src/main/java/railspar/scale/standin/LoopbackPorts.java
@@ -6,19 +6,19 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 
-/** Addresses on loopback for processes that are told where to listen. */
+/** Loopback addresses for processes whose listening address is set in their configuration. */
 public final class LoopbackPorts {
     private LoopbackPorts() {}
 
-    /** An address that is free just now, and that the system hands out to others last. */
-    public static InetSocketAddress free() throws IOException {
+    /** An address that is free now, and that the system is least likely to assign to others soon. */
+    public static InetSocketAddress findFreeAddress() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return new InetSocketAddress(socket.getInetAddress(), socket.getLocalPort());
         }
     }
 
-    /** A socket that holds a port and refuses all connections to it until it is closed. */
-    public static Socket refusing() throws IOException {
+    /** Binds a socket without listening, so that its port refuses all connections until the socket is closed. */
+    public static Socket bindRefusingSocket() throws IOException {
         final Socket socket = new Socket();
         socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         return socket;
--- a/src/main/java/railspar/scale/standin/MessageLedger.java
+++ b/src/main/java/railspar/scale/standin/MessageLedger.java
@@ -7,79 +7,79 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Follows each message from being handed in to its end. Clients, destinations and notices tell it what they see, with
- * the time at which they saw it. Thread-safe.
+ * Tracks each message from its submission to its end. Clients, destinations and receivers of notices report each event
+ * with its time. Thread-safe.
  */
 public final class MessageLedger {
-    /** How long after its time a message that has not ended is lost. */
+    /** How long after its deadline a message that has not ended counts as lost. */
     public static final Duration GRACE = Duration.ofMillis(300);
 
-    private static final int DIGITS = 3;
-    private static final double MEDIAN = 50;
-    private static final double ALMOST_ALL = 99;
+    private static final int SIGNIFICANT_DIGITS = 3;
+    private static final double MEDIAN_PERCENTILE = 50;
+    private static final double HIGH_PERCENTILE = 99;
     private static final double NS_PER_MS = TimeUnit.MILLISECONDS.toNanos(1);
 
     private static final class Entry {
-        private final long handedInNs;
-        private final long dueNs;
-        private HandInAnswer.Result answer;
-        private long acceptedNs;
-        private int acceptances;
+        private final long submittedNs;
+        private final long deadlineNs;
+        private SubmissionResponse.Result result;
+        private long deliveredNs;
+        private int deliveryCount;
         private Outcome outcome;
         private long outcomeNs;
 
-        Entry(final long handedInNs, final long dueNs) {
-            this.handedInNs = handedInNs;
-            this.dueNs = dueNs;
+        Entry(final long submittedNs, final long deadlineNs) {
+            this.submittedNs = submittedNs;
+            this.deadlineNs = deadlineNs;
         }
 
-        private boolean isTakenOn() {
-            return answer == HandInAnswer.Result.TAKEN_ON;
+        private boolean isAccepted() {
+            return result == SubmissionResponse.Result.ACCEPTED;
         }
 
-        private boolean isOver() {
-            return acceptances > 0 || outcome != null;
+        private boolean hasEnded() {
+            return deliveryCount > 0 || outcome != null;
         }
 
-        private long endedNs() {
-            return acceptances > 0 && (outcome == null || acceptedNs <= outcomeNs) ? acceptedNs : outcomeNs;
+        private long endNs() {
+            return deliveryCount > 0 && (outcome == null || deliveredNs <= outcomeNs) ? deliveredNs : outcomeNs;
         }
     }
 
     private final Map<String, Entry> entries = new HashMap<>();
-    private final Histogram answers = new Histogram(DIGITS);
-    private final Histogram deliveries = new Histogram(DIGITS);
+    private final Histogram responseTimes = new Histogram(SIGNIFICANT_DIGITS);
+    private final Histogram deliveryTimes = new Histogram(SIGNIFICANT_DIGITS);
 
-    /** A client hands this message in. */
-    public synchronized void handedIn(final HandIn message, final long atNs) {
-        final long dueNs = atNs + TimeUnit.MILLISECONDS.toNanos(message.timeoutMs());
-        entries.put(message.id(), new Entry(atNs, dueNs));
+    /** Records that a client submits a message. */
+    public synchronized void recordSubmission(final ClientMessage message, final long atNs) {
+        final long deadlineNs = atNs + TimeUnit.MILLISECONDS.toNanos(message.timeoutMs());
+        entries.put(message.id(), new Entry(atNs, deadlineNs));
     }
 
-    /** A client has its answer, or has stopped waiting for it. */
-    public synchronized void answered(final String id, final HandInAnswer.Result result, final long atNs) {
+    /** Records the response to a message, or that the client stopped waiting for it. */
+    public synchronized void recordResponse(final String id, final SubmissionResponse.Result result, final long atNs) {
         final Entry entry = entries.get(id);
-        entry.answer = result;
-        if (result != HandInAnswer.Result.NO_ANSWER) {
-            answers.recordValue(Math.max(0, atNs - entry.handedInNs));
+        entry.result = result;
+        if (result != SubmissionResponse.Result.NO_RESPONSE) {
+            responseTimes.recordValue(Math.max(0, atNs - entry.submittedNs));
         }
     }
 
-    /** A destination has accepted a message; one that is not known here is ignored. */
-    public synchronized void accepted(final String id, final long atNs) {
+    /** Records that a destination accepted a message; unknown messages are ignored. */
+    public synchronized void recordDelivery(final String id, final long atNs) {
         final Entry entry = entries.get(id);
         if (entry == null) {
             return;
         }
-        entry.acceptances++;
-        if (entry.acceptances == 1) {
-            entry.acceptedNs = atNs;
-            deliveries.recordValue(Math.max(0, atNs - entry.handedInNs));
+        entry.deliveryCount++;
+        if (entry.deliveryCount == 1) {
+            entry.deliveredNs = atNs;
+            deliveryTimes.recordValue(Math.max(0, atNs - entry.submittedNs));
         }
     }
 
-    /** The platform has a notice; the first one for a message counts. */
-    public synchronized void noticed(final Outcome outcome, final long atNs) {
+    /** Records a notice to the platform; only the first one for a message counts. */
+    public synchronized void recordOutcome(final Outcome outcome, final long atNs) {
         final Entry entry = entries.get(outcome.id());
         if (entry != null && entry.outcome == null) {
             entry.outcome = outcome;
@@ -87,9 +87,9 @@
         }
     }
 
-    /** What has become of all of them by that time. */
+    /** The state of all messages at the given time. */
     public synchronized LedgerReport report(final long atNs) {
-        final int[] byAnswer = new int[HandInAnswer.Result.values().length];
+        final int[] countsByResult = new int[SubmissionResponse.Result.values().length];
         int delivered = 0;
         int undeliverable = 0;
         int deferred = 0;
@@ -98,21 +98,21 @@
         int open = 0;
         int duplicates = 0;
         for (final Entry entry : entries.values()) {
-            if (entry.answer != null) {
-                byAnswer[entry.answer.ordinal()]++;
+            if (entry.result != null) {
+                countsByResult[entry.result.ordinal()]++;
             }
-            if (!entry.isTakenOn()) {
+            if (!entry.isAccepted()) {
                 continue;
             }
-            duplicates += Math.max(0, entry.acceptances - 1);
-            final long lostNs = entry.dueNs + GRACE.toNanos();
-            if (!entry.isOver()) {
-                lost += atNs > lostNs ? 1 : 0;
-                open += atNs > lostNs ? 0 : 1;
+            duplicates += Math.max(0, entry.deliveryCount - 1);
+            final long lostAfterNs = entry.deadlineNs + GRACE.toNanos();
+            if (!entry.hasEnded()) {
+                lost += atNs > lostAfterNs ? 1 : 0;
+                open += atNs > lostAfterNs ? 0 : 1;
                 continue;
             }
-            late += entry.endedNs() > lostNs ? 1 : 0;
-            if (entry.acceptances > 0) {
+            late += entry.endNs() > lostAfterNs ? 1 : 0;
+            if (entry.deliveryCount > 0) {
                 delivered++;
             } else if (entry.outcome.status() == Outcome.Status.UNDELIVERABLE) {
                 undeliverable++;
@@ -122,10 +122,10 @@
         }
         return new LedgerReport(
                 entries.size(),
-                byAnswer[HandInAnswer.Result.TAKEN_ON.ordinal()],
-                byAnswer[HandInAnswer.Result.REFUSED.ordinal()],
-                byAnswer[HandInAnswer.Result.FAILED.ordinal()],
-                byAnswer[HandInAnswer.Result.NO_ANSWER.ordinal()],
+                countsByResult[SubmissionResponse.Result.ACCEPTED.ordinal()],
+                countsByResult[SubmissionResponse.Result.REJECTED.ordinal()],
+                countsByResult[SubmissionResponse.Result.FAILED.ordinal()],
+                countsByResult[SubmissionResponse.Result.NO_RESPONSE.ordinal()],
                 delivered,
                 undeliverable,
                 deferred,
@@ -133,9 +133,9 @@
                 late,
                 duplicates,
                 open,
-                answers.getValueAtPercentile(MEDIAN) / NS_PER_MS,
-                answers.getValueAtPercentile(ALMOST_ALL) / NS_PER_MS,
-                deliveries.getValueAtPercentile(MEDIAN) / NS_PER_MS,
-                deliveries.getValueAtPercentile(ALMOST_ALL) / NS_PER_MS);
+                responseTimes.getValueAtPercentile(MEDIAN_PERCENTILE) / NS_PER_MS,
+                responseTimes.getValueAtPercentile(HIGH_PERCENTILE) / NS_PER_MS,
+                deliveryTimes.getValueAtPercentile(MEDIAN_PERCENTILE) / NS_PER_MS,
+                deliveryTimes.getValueAtPercentile(HIGH_PERCENTILE) / NS_PER_MS);
     }
 }
--- a/src/main/java/railspar/scale/standin/Outcome.java
+++ b/src/main/java/railspar/scale/standin/Outcome.java
@@ -7,24 +7,24 @@
 import java.util.List;
 
 /**
- * The end of a message that was taken on and not delivered, as a courier tells it to the platform.
+ * The end of a message that was accepted and not delivered, as a courier reports it to the platform in a notice.
  *
- * @param id the message
+ * @param id the message id
  * @param status how it ended
- * @param againMs after how many milliseconds its client may come again, or 0
+ * @param retryAfterMs delay in milliseconds after which the client may submit it again, or 0
  */
-public record Outcome(String id, Status status, long againMs) {
+public record Outcome(String id, Status status, long retryAfterMs) {
     /** How a message ended. */
     public enum Status {
-        /** It has failed. */
+        /** It failed. */
         UNDELIVERABLE,
-        /** It is refused and may be handed in again. */
+        /** It was rejected and may be submitted again. */
         DEFERRED
     }
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** Reads a body with one outcome on each line. */
+    /** Parses a body with one outcome per line. */
     static List<Outcome> parseLines(final String body) throws IOException {
         final List<Outcome> outcomes = new ArrayList<>();
         for (final String line : body.split("\n")) {
@@ -39,13 +39,14 @@
         final JsonNode node = JSON.readTree(line);
         final String id = node.path("id").asText();
         if (id.isEmpty()) {
-            throw new IOException("an outcome without an id: " + line);
+            throw new IOException("the outcome has no id: " + line);
         }
         final Status status =
                 switch (node.path("status").asText()) {
                     case "undeliverable" -> Status.UNDELIVERABLE;
                     case "deferred" -> Status.DEFERRED;
-                    default -> throw new IOException("unknown status: " + line);
+                    default -> throw new IOException(
+                            "the outcome has an unknown status, expected undeliverable or deferred: " + line);
                 };
         return new Outcome(id, status, node.path("again_ms").asLong(0));
     }
--- a/src/main/java/railspar/scale/standin/RegisteredMessage.java
+++ b/src/main/java/railspar/scale/standin/RegisteredMessage.java
@@ -1,12 +1,12 @@
 package railspar.scale.standin;
 
 /**
- * A message that a client hands in, as the destinations' stand-in must know it.
+ * What the simulated destinations must know of a message that a client submits.
  *
- * @param id its id
- * @param destination what it is for
- * @param key its key in a class that keeps its order, or null
- * @param sequence its place in the order of its key
- * @param repeatable true if it may run more than once
+ * @param id the message id
+ * @param destination the destination number
+ * @param key the message key in a class with ordered delivery, or null
+ * @param sequence the position in the order of the key
+ * @param idempotent true if it may be executed more than once
  */
-public record RegisteredMessage(String id, long destination, String key, long sequence, boolean repeatable) {}
+public record RegisteredMessage(String id, long destination, String key, long sequence, boolean idempotent) {}
--- a/src/main/java/railspar/scale/standin/TrafficCounter.java
+++ b/src/main/java/railspar/scale/standin/TrafficCounter.java
@@ -6,7 +6,10 @@
 import io.netty.channel.ChannelPromise;
 import java.net.InetSocketAddress;
 
-/** Counts the bytes of one connection, first in its pipeline. The event loop writes, any thread reads. */
+/**
+ * Counts the bytes of one connection, as the first handler of its pipeline. Only the event loop writes the counts; any
+ * thread may read them.
+ */
 final class TrafficCounter extends ChannelDuplexHandler {
     private final long number;
     private volatile InetSocketAddress peer;
@@ -20,11 +23,11 @@
         this.number = number;
     }
 
-    void sentWholeList() {
+    void countWholeList() {
         wholeLists = wholeLists + 1;
     }
 
-    void sentChanges() {
+    void countChangeLine() {
         changeLines = changeLines + 1;
     }
 
@@ -53,8 +56,8 @@
     @Override
     public void write(final ChannelHandlerContext ctx, final Object message, final ChannelPromise promise) {
         final int bytes = ((ByteBuf) message).readableBytes();
-        ctx.write(message, promise.unvoid().addListener(done -> {
-            if (done.isSuccess()) {
+        ctx.write(message, promise.unvoid().addListener(future -> {
+            if (future.isSuccess()) {
                 bytesOut = bytesOut + bytes;
             }
         }));
--- a/src/test/java/railspar/scale/real/RealCourierTest.java
+++ b/src/test/java/railspar/scale/real/RealCourierTest.java
@@ -5,8 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import railspar.scale.BoundedWait;
-import railspar.scale.standin.ClientLoad;
-import railspar.scale.standin.ClientLoadSettings;
 import railspar.scale.standin.DestinationServer;
 import railspar.scale.standin.DestinationSettings;
 import railspar.scale.standin.DiscoveryServer;
@@ -14,9 +12,11 @@
 import railspar.scale.standin.FleetPlan;
 import railspar.scale.standin.LedgerReport;
 import railspar.scale.standin.ListHistory;
+import railspar.scale.standin.LoadGenerator;
+import railspar.scale.standin.LoadGeneratorSettings;
 import railspar.scale.standin.LoopbackPorts;
 import railspar.scale.standin.MessageLedger;
-import railspar.scale.standin.MessageShape;
+import railspar.scale.standin.MessageProfile;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -45,7 +45,7 @@
 
     @Test
     void itFollowsTheListAndStartsAgainAfterAKill() throws IOException {
-        try (Socket closed = LoopbackPorts.refusing()) {
+        try (Socket closed = LoopbackPorts.bindRefusingSocket()) {
             final List<EndpointEntry> list =
                     new FleetPlan(1, 50, 1.7, 0, 1, 1, 1).endpoints((InetSocketAddress) closed.getLocalSocketAddress());
             final ListHistory history = new ListHistory(list);
@@ -74,29 +74,29 @@
         final FleetPlan plan = new FleetPlan(1, destinations, 2, 0, 1, 1, 1);
         final MessageLedger ledger = new MessageLedger();
         try (DestinationServer server = new DestinationServer(2, number -> DestinationSettings.DEFAULT, 1)) {
-            server.onAccepted(id -> ledger.accepted(id, System.nanoTime()));
+            server.onAccepted(id -> ledger.recordDelivery(id, System.nanoTime()));
             final List<EndpointEntry> list = new ArrayList<>();
             for (final EndpointEntry entry : plan.endpoints(server.addresses().get(0))) {
-                list.add(server.place(entry, list.size() % 2));
+                list.add(server.addEndpoint(entry, list.size() % 2));
             }
             try (DiscoveryServer discovery = new DiscoveryServer(new ListHistory(list));
                     RealCourier courier = courier(discovery)) {
-                discovery.onOutcome(outcome -> ledger.noticed(outcome, System.nanoTime()));
+                discovery.onOutcome(outcome -> ledger.recordOutcome(outcome, System.nanoTime()));
                 courier.start();
                 assertTrue(courier.awaitReady(PATIENCE).isPresent(), () -> log(courier));
                 assertTrue(courier.awaitDiscovered(list.size(), PATIENCE).isPresent(), () -> log(courier));
-                final ClientLoadSettings load = new ClientLoadSettings(
+                final LoadGeneratorSettings load = new LoadGeneratorSettings(
                         2,
                         200,
                         messages,
                         destinations,
                         0,
                         List.of(
-                                new MessageShape(CourierConfiguration.SAFE_CLASS, 1, false, true, 60_000, 212),
-                                new MessageShape(CourierConfiguration.ONCE_CLASS, 1, false, false, 60_000, 212),
-                                new MessageShape(CourierConfiguration.ORDERED_CLASS, 1, true, false, 60_000, 212)),
+                                new MessageProfile(CourierConfiguration.SAFE_CLASS, 1, false, true, 60_000, 212),
+                                new MessageProfile(CourierConfiguration.ONCE_CLASS, 1, false, false, 60_000, 212),
+                                new MessageProfile(CourierConfiguration.ORDERED_CLASS, 1, true, false, 60_000, 212)),
                         1);
-                new ClientLoad(load, List.of(courier.address()), ledger, server::register).run();
+                new LoadGenerator(load, List.of(courier.address()), ledger, server::register).run();
                 BoundedWait.until(
                         "the end of all messages",
                         () -> ledger.report(System.nanoTime()).open() == 0);
@@ -105,7 +105,7 @@
                 assertEquals(report.takenOn(), report.delivered() + report.undeliverable() + report.deferred());
                 assertTrue(report.delivered() > 0, report.toString());
                 assertEquals(0, report.lost(), report.toString());
-                assertEquals(0, server.faults().total(), server.faults().toString());
+                assertEquals(0, server.violations().total(), server.violations().toString());
             }
         }
     }
@@ -117,8 +117,8 @@
                 folder,
                 new CourierConfiguration(
                         "n0",
-                        LoopbackPorts.free(),
-                        LoopbackPorts.free(),
+                        LoopbackPorts.findFreeAddress(),
+                        LoopbackPorts.findFreeAddress(),
                         discovery.address(),
                         CourierLimits.DEFAULT,
                         1,
--- a/src/test/java/railspar/scale/standin/ClientConnectionTest.java
+++ b/src/test/java/railspar/scale/standin/ClientConnectionTest.java
@@ -18,46 +18,46 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A client before a scripted courier: what it sends, and what it makes of each answer. */
+/** Runs a client against a scripted courier and checks its requests and how it interprets the responses. */
 @Timeout(60)
 final class ClientConnectionTest {
-    private static final Duration PATIENCE = Duration.ofSeconds(20);
+    private static final Duration LONG_TIMEOUT = Duration.ofSeconds(20);
     private static final byte[] BODY = "hello".getBytes(StandardCharsets.US_ASCII);
 
-    /** Says nothing; the connection stays open. */
-    private static final String SILENCE = "";
+    /** The courier sends nothing and leaves the connection open. */
+    private static final String NO_RESPONSE_BYTES = "";
 
-    private static final String END = "end of the connection";
+    private static final String CLOSE_CONNECTION = "end of the connection";
 
-    /** The heads of all requests, each behind the number of its connection. */
+    /** The heads of all requests, each prefixed with the number of its connection. */
     private final List<String> requests = new CopyOnWriteArrayList<>();
 
     private ServerSocket server;
-    private volatile List<String> script = List.of();
+    private volatile List<String> scriptedResponses = List.of();
 
     @BeforeEach
-    void listen() throws IOException {
+    void startServer() throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        daemon(this::accept);
+        startDaemonThread(this::acceptConnections);
     }
 
     @AfterEach
-    void end() throws IOException {
+    void stopServer() throws IOException {
         server.close();
     }
 
-    private static void daemon(final Runnable work) {
+    private static void startDaemonThread(final Runnable work) {
         final Thread thread = new Thread(work);
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void accept() {
+    private void acceptConnections() {
         try {
             for (int number = 1; ; number++) {
                 final Socket socket = server.accept();
                 final int connection = number;
-                daemon(() -> serve(socket, connection));
+                startDaemonThread(() -> serve(socket, connection));
             }
         } catch (final IOException e) {
             assert server.isClosed();
@@ -68,15 +68,15 @@
         try {
             while (true) {
                 requests.add(connection + " " + readRequest(socket.getInputStream()));
-                final String answer = script.get(requests.size() - 1);
-                if (answer.equals(END)) {
+                final String response = scriptedResponses.get(requests.size() - 1);
+                if (response.equals(CLOSE_CONNECTION)) {
                     socket.close();
                     return;
                 }
-                socket.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
+                socket.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
             }
         } catch (final IOException | IndexOutOfBoundsException e) {
-            // The client has left, or the script is over.
+            // The client closed the connection, or there are no more scripted responses.
             return;
         }
     }
@@ -86,7 +86,7 @@
         while (!head.toString(StandardCharsets.US_ASCII).endsWith("\r\n\r\n")) {
             final int next = in.read();
             if (next < 0) {
-                throw new IOException("the client has left");
+                throw new IOException("the client closed the connection");
             }
             head.write(next);
         }
@@ -94,92 +94,97 @@
         return head.toString(StandardCharsets.US_ASCII);
     }
 
-    private static String answer(final String status, final String... headers) {
-        final String more = headers.length == 0 ? "" : String.join("\r\n", headers) + "\r\n";
-        return "HTTP/1.1 " + status + "\r\n" + more + "Content-Length: 2\r\n\r\nok";
+    private static String response(final String status, final String... headers) {
+        final String headerLines = headers.length == 0 ? "" : String.join("\r\n", headers) + "\r\n";
+        return "HTTP/1.1 " + status + "\r\n" + headerLines + "Content-Length: 2\r\n\r\nok";
     }
 
-    private ClientConnection client(final Duration patience) {
-        return new ClientConnection(new InetSocketAddress(server.getInetAddress(), server.getLocalPort()), patience);
+    private ClientConnection client(final Duration responseTimeout) {
+        return new ClientConnection(
+                new InetSocketAddress(server.getInetAddress(), server.getLocalPort()), responseTimeout);
     }
 
-    private static HandIn message(final String id) {
-        return new HandIn(id, "ordered", "k7", 480, 7, BODY);
+    private static ClientMessage message(final String id) {
+        return new ClientMessage(id, "ordered", "k7", 480, 7, BODY);
     }
 
     @Test
-    void aMessageIsSentAsTheProtocolShowsItAndTheConnectionIsKept() {
-        script = List.of(answer("202 Accepted"), answer("200 OK"));
-        try (ClientConnection client = client(PATIENCE)) {
+    void sendsTheRequestOfTheProtocolAndReusesTheConnection() {
+        scriptedResponses = List.of(response("202 Accepted"), response("200 OK"));
+        try (ClientConnection client = client(LONG_TIMEOUT)) {
             assertEquals(
-                    HandInAnswer.Result.TAKEN_ON, client.handIn(message("m1")).result());
+                    SubmissionResponse.Result.ACCEPTED, client.submit(message("m1")).result());
             assertEquals(
-                    HandInAnswer.Result.TAKEN_ON, client.handIn(message("m2")).result());
+                    SubmissionResponse.Result.ACCEPTED, client.submit(message("m2")).result());
         }
         assertEquals(
                 "1 POST /ordered/k7 HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: m1\r\n"
                         + "X-Priority-Class: ordered\r\nX-Timeout-Ms: 480\r\nX-Consignee: dest=7\r\n"
                         + "Content-Length: 5\r\n\r\n",
                 requests.get(0));
-        assertEquals('1', requests.get(1).charAt(0), "the second one came on the same connection");
+        assertEquals('1', requests.get(1).charAt(0), "the second message uses the same connection");
     }
 
     @Test
-    void refusalsTellWhenToComeAgainAndOtherAnswersAreFailures() {
-        script = List.of(
-                answer("503 Service Unavailable", "Retry-After: 0.5"),
-                answer("429 Too Many Requests"),
-                answer("400 Bad Request"));
-        try (ClientConnection client = client(PATIENCE)) {
-            assertEquals(new HandInAnswer(HandInAnswer.Result.REFUSED, 503, 0.5), client.handIn(message("m1")));
-            assertEquals(new HandInAnswer(HandInAnswer.Result.REFUSED, 429, 0), client.handIn(message("m2")));
-            assertEquals(new HandInAnswer(HandInAnswer.Result.FAILED, 400, 0), client.handIn(message("m3")));
+    void mapsStatusAndRetryAfterToResults() {
+        scriptedResponses = List.of(
+                response("503 Service Unavailable", "Retry-After: 0.5"),
+                response("429 Too Many Requests"),
+                response("400 Bad Request"));
+        try (ClientConnection client = client(LONG_TIMEOUT)) {
+            assertEquals(
+                    new SubmissionResponse(SubmissionResponse.Result.REJECTED, 503, 0.5),
+                    client.submit(message("m1")));
+            assertEquals(
+                    new SubmissionResponse(SubmissionResponse.Result.REJECTED, 429, 0), client.submit(message("m2")));
+            assertEquals(
+                    new SubmissionResponse(SubmissionResponse.Result.FAILED, 400, 0), client.submit(message("m3")));
         }
     }
 
     @Test
-    void afterAnAnswerThatEndsTheConnectionTheNextMessageOpensOne() {
-        script = List.of(answer("202 Accepted", "Connection: close"), answer("202 Accepted"));
-        try (ClientConnection client = client(PATIENCE)) {
-            client.handIn(message("m1"));
-            client.handIn(message("m2"));
-            assertEquals(2, client.opened());
+    void reconnectsAfterAResponseWithConnectionClose() {
+        scriptedResponses = List.of(response("202 Accepted", "Connection: close"), response("202 Accepted"));
+        try (ClientConnection client = client(LONG_TIMEOUT)) {
+            client.submit(message("m1"));
+            client.submit(message("m2"));
+            assertEquals(2, client.connectionCount());
         }
         assertEquals('2', requests.get(1).charAt(0));
     }
 
     @Test
-    void withoutAnAnswerInTimeTheConnectionIsGivenUp() {
-        script = List.of(SILENCE, answer("202 Accepted"));
+    void doesNotRetryAfterATimeout() {
+        scriptedResponses = List.of(NO_RESPONSE_BYTES, response("202 Accepted"));
         try (ClientConnection client = client(Duration.ofMillis(30))) {
             assertEquals(
-                    HandInAnswer.Result.NO_ANSWER, client.handIn(message("m1")).result());
+                    SubmissionResponse.Result.NO_RESPONSE, client.submit(message("m1")).result());
         }
-        try (ClientConnection client = client(PATIENCE)) {
+        try (ClientConnection client = client(LONG_TIMEOUT)) {
             assertEquals(
-                    HandInAnswer.Result.TAKEN_ON, client.handIn(message("m2")).result());
+                    SubmissionResponse.Result.ACCEPTED, client.submit(message("m2")).result());
         }
-        assertEquals(2, requests.size(), "a message that may have been read is not sent again");
+        assertEquals(2, requests.size(), "a message that the courier may have read is not sent again");
     }
 
     @Test
-    void aKeptConnectionThatTheCourierClosesMakesTheMessageGoOnceMore() {
-        script = List.of(answer("202 Accepted"), END, answer("202 Accepted"));
-        try (ClientConnection client = client(PATIENCE)) {
-            client.handIn(message("m1"));
+    void retriesOnceWhenAReusedConnectionIsClosed() {
+        scriptedResponses = List.of(response("202 Accepted"), CLOSE_CONNECTION, response("202 Accepted"));
+        try (ClientConnection client = client(LONG_TIMEOUT)) {
+            client.submit(message("m1"));
             assertEquals(
-                    HandInAnswer.Result.TAKEN_ON, client.handIn(message("m2")).result());
+                    SubmissionResponse.Result.ACCEPTED, client.submit(message("m2")).result());
         }
         assertEquals(3, requests.size());
-        assertEquals(requests.get(1).substring(1), requests.get(2).substring(1), "the same message");
+        assertEquals(requests.get(1).substring(1), requests.get(2).substring(1), "the retry sends the same message");
     }
 
     @Test
-    void aFreshConnectionThatTheCourierClosesEndsInNoAnswer() {
-        script = List.of(END);
-        try (ClientConnection client = client(PATIENCE)) {
+    void doesNotRetryWhenANewConnectionIsClosed() {
+        scriptedResponses = List.of(CLOSE_CONNECTION);
+        try (ClientConnection client = client(LONG_TIMEOUT)) {
             assertEquals(
-                    HandInAnswer.Result.NO_ANSWER, client.handIn(message("m1")).result());
+                    SubmissionResponse.Result.NO_RESPONSE, client.submit(message("m1")).result());
         }
         assertEquals(1, requests.size());
     }
--- a/src/test/java/railspar/scale/standin/DestinationSamplerTest.java
+++ b/src/test/java/railspar/scale/standin/DestinationSamplerTest.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Shares of the destinations that are drawn, with a fixed seed. */
+/** Compares the shares of the drawn destinations with Zipf's law, with a fixed seed. */
 final class DestinationSamplerTest {
     private static final int DRAWS = 100_000;
 
@@ -26,23 +26,23 @@
     }
 
     @Test
-    void withAnExponentOfZeroAllAreAlike() {
+    void anExponentOfZeroDrawsAllDestinationsEqually() {
         for (final int count : draw(10, 0)) {
             assertShare(0.1, count);
         }
     }
 
     @Test
-    void withAnExponentOfOneTheSharesFallAsTheRanksRise() {
+    void anExponentOfOneDrawsInProportionToTheInverseRank() {
         final int[] counts = draw(4, 1);
-        final double sum = 1 + 1.0 / 2 + 1.0 / 3 + 1.0 / 4;
+        final double totalWeight = 1 + 1.0 / 2 + 1.0 / 3 + 1.0 / 4;
         for (int rank = 0; rank < counts.length; rank++) {
-            assertShare(1.0 / (rank + 1) / sum, counts[rank]);
+            assertShare(1.0 / (rank + 1) / totalWeight, counts[rank]);
         }
     }
 
     @Test
-    void oneDestinationIsAlwaysDrawnAndBadSizesAreRefused() {
+    void drawsASingleDestinationAlwaysAndRejectsInvalidArguments() {
         assertEquals(DRAWS, draw(1, 2)[0]);
         assertThrows(IllegalArgumentException.class, () -> new DestinationSampler(0, 1));
         assertThrows(IllegalArgumentException.class, () -> new DestinationSampler(1, -1));
--- a/src/test/java/railspar/scale/standin/DestinationServerTest.java
+++ b/src/test/java/railspar/scale/standin/DestinationServerTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import railspar.scale.BoundedWait;
 import java.io.IOException;
 import java.time.Duration;
 import java.util.List;
@@ -15,39 +14,40 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import railspar.scale.BoundedWait;
 
-/** What calls the stand-in of destinations answers and how, and which of them it counts as faults. */
+/** Checks how the simulated destinations answer calls, and which calls they count as violations. */
 @Timeout(60)
 final class DestinationServerTest {
     private static final long DESTINATION = 7;
-    private static final CallFaults NO_FAULTS = new CallFaults(0, 0, 0, 0, 0, 0, 0);
-    private static final DestinationSettings PROMPT = new DestinationSettings(
+    private static final CallViolations NO_VIOLATIONS = new CallViolations(0, 0, 0, 0, 0, 0, 0);
+    private static final DestinationSettings WITHOUT_LIMIT = new DestinationSettings(
             16, 32, 0, true, Duration.ZERO, 0, 2, Duration.ofSeconds(10), 0.5, 2.0, Duration.ofSeconds(2));
 
     private final AtomicLong nowNs = new AtomicLong(TimeUnit.SECONDS.toNanos(1));
     private final List<String> accepted = new CopyOnWriteArrayList<>();
-    private volatile DestinationSettings settings = PROMPT;
+    private volatile DestinationSettings settings = WITHOUT_LIMIT;
     private DestinationServer server;
 
     @BeforeEach
-    void listen() {
+    void startServer() {
         server = new DestinationServer(2, destination -> settings, 1, nowNs::get);
         server.onAccepted(accepted::add);
-        server.place(
+        server.addEndpoint(
                 new EndpointEntry("e1", "", "a", FleetPlan.KIND, DESTINATION, EndpointEntry.Health.READY, 1, 0), 0);
     }
 
     @AfterEach
-    void end() {
+    void stopServer() {
         server.close();
     }
 
-    private RawHttpClient client(final int address) throws IOException {
-        return new RawHttpClient(server.addresses().get(address));
+    private RawHttpClient client(final int addressIndex) throws IOException {
+        return new RawHttpClient(server.addresses().get(addressIndex));
     }
 
-    private void register(final String id, final boolean repeatable) {
-        server.register(new RegisteredMessage(id, DESTINATION, null, 0, repeatable));
+    private void register(final String id, final boolean idempotent) {
+        server.register(new RegisteredMessage(id, DESTINATION, null, 0, idempotent));
     }
 
     private static int call(final RawHttpClient client, final String id) throws IOException {
@@ -63,18 +63,18 @@
     }
 
     @Test
-    void aRegisteredMessageIsAcceptedAndCounted() throws IOException {
+    void acceptsAndCountsARegisteredMessage() throws IOException {
         register("m1", false);
         try (RawHttpClient client = client(0)) {
             assertEquals(200, call(client, "m1"));
         }
         assertEquals(List.of("m1"), accepted);
         assertEquals(new DestinationCounts(1, 1, 1, 0, 0, 0, 0), server.counts(DESTINATION));
-        assertEquals(NO_FAULTS, server.faults());
+        assertEquals(NO_VIOLATIONS, server.violations());
     }
 
     @Test
-    void severalMessagesInACallAreAnsweredEachAndBadCallsAreRefusedWhole() throws IOException {
+    void answersEachMessageOfABulkCallAndRejectsMalformedCallsWhole() throws IOException {
         register("m1", true);
         register("m2", true);
         register("m3", true);
@@ -86,42 +86,42 @@
                     client.body(length));
             client.request("POST /inbox/bulk", bulk("m1", "m2", "m3"));
             assertEquals(413, client.status());
-            for (final String bad : List.of("", "[]", "{", bulk("m1", "m1"))) {
-                client.request("POST /inbox/bulk", bad);
-                assertEquals(400, client.status(), bad);
+            for (final String malformed : List.of("", "[]", "{", bulk("m1", "m1"))) {
+                client.request("POST /inbox/bulk", malformed);
+                assertEquals(400, client.status(), malformed);
             }
         }
         assertEquals(List.of("m1", "m2"), accepted);
-        assertEquals(4, server.faults().malformed());
+        assertEquals(4, server.violations().malformed());
     }
 
     @Test
-    void aMessageThatNoClientHandedInIsRefusedAndCounted() throws IOException {
+    void rejectsAndCountsUnregisteredMessages() throws IOException {
         register("m1", true);
         server.forget("m1");
         try (RawHttpClient client = client(0)) {
             assertEquals(400, call(client, "m1"));
             assertEquals(400, call(client, "m9"));
         }
-        assertEquals(2, server.faults().unknown());
+        assertEquals(2, server.violations().unknownMessages());
         assertEquals(List.of(), accepted);
     }
 
     @Test
-    void aSecondCopyOfAMessageThatIsStillOutIsCounted() throws IOException {
+    void countsConcurrentCopiesOfAMessage() throws IOException {
         register("m1", true);
-        server.hang(DESTINATION, true);
+        server.setHung(DESTINATION, true);
         try (RawHttpClient one = client(0);
                 RawHttpClient other = client(0)) {
             one.send("POST /inbox", "hello", "X-Request-ID: m1");
             other.send("POST /inbox", "hello", "X-Request-ID: m1");
-            BoundedWait.until("the server's counts", () -> server.faults().secondCopies() == 1);
+            BoundedWait.until("the server's counts", () -> server.violations().concurrentCopies() == 1);
         }
-        assertEquals(new CallFaults(0, 0, 0, 1, 0, 0, 0), server.faults());
+        assertEquals(new CallViolations(0, 0, 0, 1, 0, 0, 0), server.violations());
     }
 
     @Test
-    void aMessageWhoseCallWasAnsweredMayComeAgainUnlessItMustNotBeRepeated() throws IOException {
+    void countsRepeatedExecutionsOfNonIdempotentMessagesOnly() throws IOException {
         register("safe", true);
         register("once", false);
         try (RawHttpClient client = client(0)) {
@@ -130,11 +130,11 @@
                 assertEquals(200, call(client, "once"));
             }
         }
-        assertEquals(new CallFaults(0, 0, 0, 0, 1, 0, 0), server.faults());
+        assertEquals(new CallViolations(0, 0, 0, 0, 1, 0, 0), server.violations());
     }
 
     @Test
-    void aMessageBehindALaterOneOfItsKeyIsCounted() throws IOException {
+    void countsMessagesThatArriveAfterALaterOneOfTheirKey() throws IOException {
         server.register(new RegisteredMessage("m1", DESTINATION, "k", 1, true));
         server.register(new RegisteredMessage("m2", DESTINATION, "k", 2, true));
         server.register(new RegisteredMessage("x1", DESTINATION, "other", 1, true));
@@ -142,33 +142,33 @@
             call(client, "m1");
             call(client, "m2");
             call(client, "x1");
-            assertEquals(NO_FAULTS, server.faults());
+            assertEquals(NO_VIOLATIONS, server.violations());
             call(client, "m1");
         }
-        assertEquals(new CallFaults(0, 0, 0, 0, 0, 1, 0), server.faults());
+        assertEquals(new CallViolations(0, 0, 0, 0, 0, 1, 0), server.violations());
     }
 
     @Test
-    void callsToAnEndpointThatDrainsAreCountedAfterTheGraceAndElsewhereAtOnce() throws IOException {
+    void countsCallsToADrainingEndpointAfterTheGracePeriodAndToWrongAddressesAtOnce() throws IOException {
         register("m1", true);
-        server.drain(DESTINATION, 0);
-        nowNs.addAndGet(CallChecks.DRAIN_GRACE.toNanos());
+        server.startDrain(DESTINATION, 0);
+        nowNs.addAndGet(CallRuleChecker.DRAIN_GRACE.toNanos());
         try (RawHttpClient client = client(0);
                 RawHttpClient elsewhere = client(1)) {
             call(client, "m1");
-            assertEquals(NO_FAULTS, server.faults());
+            assertEquals(NO_VIOLATIONS, server.violations());
             nowNs.incrementAndGet();
             call(client, "m1");
-            assertEquals(new CallFaults(0, 0, 1, 0, 0, 0, 0), server.faults());
+            assertEquals(new CallViolations(0, 0, 1, 0, 0, 0, 0), server.violations());
             call(elsewhere, "m1");
-            assertEquals(new CallFaults(0, 1, 1, 0, 0, 0, 0), server.faults());
+            assertEquals(new CallViolations(0, 1, 1, 0, 0, 0, 0), server.violations());
         }
     }
 
     @Test
-    void aboveTheLimitTheAnswerTellsHowLongToWaitWhereTheSettingsSaySo() throws IOException {
+    void rejectsAboveTheRateLimitWithARetryDelay() throws IOException {
         register("m1", true);
-        settings = PROMPT.withMessagesPerSecond(1);
+        settings = WITHOUT_LIMIT.withMessagesPerSecond(1);
         try (RawHttpClient client = client(0)) {
             assertEquals(200, call(client, "m1"));
             assertEquals(429, call(client, "m1"));
@@ -181,7 +181,7 @@
     }
 
     @Test
-    void aFullQueueIsAnsweredWith503AndAClosedConnectionFreesTheSlot() throws IOException {
+    void rejectsWith503WhenTheQueueIsFullAndFreesTheSlotOfAClosedConnection() throws IOException {
         register("m1", true);
         register("m2", true);
         settings = new DestinationSettings(
@@ -198,6 +198,6 @@
                     "the server's counts", () -> server.counts(DESTINATION).running() == 0);
         }
         assertTrue(accepted.isEmpty());
-        assertEquals(NO_FAULTS, server.faults());
+        assertEquals(NO_VIOLATIONS, server.violations());
     }
 }
--- a/src/test/java/railspar/scale/standin/DiscoveryServerTest.java
+++ b/src/test/java/railspar/scale/standin/DiscoveryServerTest.java
@@ -9,7 +9,6 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import railspar.scale.BoundedWait;
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.InetSocketAddress;
@@ -19,21 +18,22 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import railspar.scale.BoundedWait;
 
-/** What the stand-in of discovery tells a watch in each of its modes, and what it counts. */
+/** Checks what the simulated discovery agent sends in each of its modes, and what it counts. */
 @Timeout(60)
 final class DiscoveryServerTest {
-    private static final Duration NO_HEARTBEAT = Duration.ofHours(1);
+    private static final Duration LONG_HEARTBEAT_INTERVAL = Duration.ofHours(1);
     private static final String WATCH = "GET /discovery/hosts?watch=1&after=";
     private static final int ENDPOINTS = 1700;
 
-    private final List<EndpointEntry> first =
+    private final List<EndpointEntry> initialEntries =
             new FleetPlan(1, 1000, 1.7, 0, 1, 1, 1).endpoints(new InetSocketAddress("127.0.0.1", 7070));
-    private final ListHistory history = new ListHistory(first);
-    private DiscoveryServer server = new DiscoveryServer(history, NO_HEARTBEAT);
+    private final ListHistory history = new ListHistory(initialEntries);
+    private DiscoveryServer server = new DiscoveryServer(history, LONG_HEARTBEAT_INTERVAL);
 
     @AfterEach
-    void end() {
+    void stopServer() {
         server.close();
     }
 
@@ -44,15 +44,15 @@
         return client;
     }
 
-    private static JsonNode json(final String text) throws JsonProcessingException {
+    private static JsonNode parse(final String text) throws JsonProcessingException {
         return new ObjectMapper().readTree(text);
     }
 
-    private long changeOne() {
-        return history.change(List.of(first.get(0).withHealth(EndpointEntry.Health.TERMINATING)));
+    private long changeOneEntry() {
+        return history.change(List.of(initialEntries.get(0).withHealth(EndpointEntry.Health.TERMINATING)));
     }
 
-    /** Returns once the server has done all that it was told to do before: a notice is answered behind that. */
+    /** Waits until the event loop has run all earlier tasks, because a notice is answered only after them. */
     private void awaitEventLoop() throws IOException {
         try (RawHttpClient notices = new RawHttpClient(server.address())) {
             notices.request("POST /v1/outcomes", "{\"id\":\"m1\",\"status\":\"undeliverable\"}\n");
@@ -61,9 +61,9 @@
     }
 
     @Test
-    void theWholeListIsAnsweredOnRequest() throws IOException {
+    void respondsWithTheWholeList() throws IOException {
         try (RawHttpClient client = new RawHttpClient(server.address())) {
-            final JsonNode list = json(client.body(client.request("GET /discovery/hosts", "")));
+            final JsonNode list = parse(client.body(client.request("GET /discovery/hosts", "")));
             assertEquals(1, list.path("seq").asLong());
             assertEquals(ENDPOINTS, list.path("hosts").size());
             client.request("GET /elsewhere", "");
@@ -72,12 +72,12 @@
     }
 
     @Test
-    void aWatchGetsTheWholeListOnceAndThenChangesOnly() throws IOException {
+    void sendsAWatchTheWholeListOnceAndThenChanges() throws IOException {
         try (RawHttpClient client = watch(0)) {
-            assertEquals(ENDPOINTS, json(client.line()).path("hosts").size());
+            assertEquals(ENDPOINTS, parse(client.line()).path("hosts").size());
             for (int count = 0; count < 3; count++) {
-                final long version = changeOne();
-                final JsonNode change = json(client.line());
+                final long version = changeOneEntry();
+                final JsonNode change = parse(client.line());
                 assertEquals(version, change.path("seq").asLong());
                 assertEquals(1, change.path("hosts").size());
             }
@@ -91,22 +91,22 @@
     }
 
     @Test
-    void aWatchAfterAVersionGetsWhatChangedSinceInOneLine() throws IOException {
-        changeOne();
-        changeOne();
+    void sendsAWatchAfterAVersionTheChangesSinceInOneLine() throws IOException {
+        changeOneEntry();
+        changeOneEntry();
         try (RawHttpClient client = watch(1)) {
-            final JsonNode change = json(client.line());
+            final JsonNode change = parse(client.line());
             assertEquals(3, change.path("seq").asLong());
             assertEquals(1, change.path("hosts").size());
             assertEquals(0, server.traffic().get(0).wholeLists());
         }
         try (RawHttpClient client = watch(3)) {
-            assertEquals("", client.line(), "nothing has changed");
+            assertEquals("", client.line(), "there are no changes");
         }
     }
 
     @Test
-    void aWatchWithoutNewsGetsEmptyLines() throws IOException {
+    void sendsHeartbeatsOnAnIdleWatch() throws IOException {
         server.close();
         server = new DiscoveryServer(history, Duration.ofMillis(5));
         try (RawHttpClient client = watch(1)) {
@@ -117,28 +117,28 @@
     }
 
     @Test
-    void whileUnavailableNothingIsSaidOfTheListAndNoticesAreAnswered() throws IOException {
-        try (RawHttpClient standing = watch(1);
-                RawHttpClient fresh = new RawHttpClient(server.address())) {
-            assertEquals("", standing.line());
-            server.mode(DiscoveryMode.UNAVAILABLE);
-            final long saidBefore = standing.bytesRead();
+    void sendsNothingOfTheListWhileUnavailableButAnswersNotices() throws IOException {
+        try (RawHttpClient openWatch = watch(1);
+                RawHttpClient newWatch = new RawHttpClient(server.address())) {
+            assertEquals("", openWatch.line());
+            server.setMode(DiscoveryMode.UNAVAILABLE);
+            final long bytesBefore = openWatch.bytesRead();
             BoundedWait.until(
-                    "the server's counts", () -> server.traffic().get(0).bytesOut() == saidBefore);
-            fresh.send(WATCH + "1", "");
-            changeOne();
+                    "the server's counts", () -> server.traffic().get(0).bytesOut() == bytesBefore);
+            newWatch.send(WATCH + "1", "");
+            changeOneEntry();
             awaitEventLoop();
-            assertEquals(saidBefore, server.traffic().get(0).bytesOut());
+            assertEquals(bytesBefore, server.traffic().get(0).bytesOut());
             assertEquals(0, server.traffic().get(1).bytesOut());
-            server.mode(DiscoveryMode.NORMAL);
-            assertEquals(2, json(standing.line()).path("seq").asLong());
-            fresh.readHead();
-            assertEquals(2, json(fresh.line()).path("seq").asLong());
+            server.setMode(DiscoveryMode.NORMAL);
+            assertEquals(2, parse(openWatch.line()).path("seq").asLong());
+            newWatch.readHead();
+            assertEquals(2, parse(newWatch.line()).path("seq").asLong());
         }
     }
 
     @Test
-    void anOutageEndsByItself() throws IOException {
+    void endsAnOutageAfterItsDuration() throws IOException {
         server.outage(Duration.ofMillis(20));
         try (RawHttpClient client = watch(1)) {
             assertEquals("", client.line());
@@ -147,31 +147,32 @@
     }
 
     @Test
-    void watchesMayFallSilentBehindTheirHead() throws IOException {
-        server.mode(DiscoveryMode.SILENT_WATCHES);
+    void sendsNoLinesOnSilentWatches() throws IOException {
+        server.setMode(DiscoveryMode.SILENT_WATCHES);
         try (RawHttpClient client = watch(0)) {
-            changeOne();
+            changeOneEntry();
             awaitEventLoop();
             assertEquals(0, server.traffic().get(0).wholeLists());
             assertEquals(0, server.traffic().get(0).changeLines());
-            server.mode(DiscoveryMode.NORMAL);
-            assertEquals(ENDPOINTS, json(client.line()).path("hosts").size());
+            server.setMode(DiscoveryMode.NORMAL);
+            assertEquals(ENDPOINTS, parse(client.line()).path("hosts").size());
         }
     }
 
     @Test
-    void aFirstLineMayBreakOff() throws IOException {
-        server.mode(DiscoveryMode.FIRST_LINE_BREAKS_OFF);
+    void canTruncateTheFirstLine() throws IOException {
+        server.setMode(DiscoveryMode.FIRST_LINE_TRUNCATED);
         try (RawHttpClient client = watch(0)) {
             assertNull(client.line());
-            final int whole = history.lineAfter(0).length;
-            assertTrue(client.bytesRead() > whole / 2 && client.bytesRead() < whole, "half of it has come");
+            final int listBytes = history.lineAfter(0).length;
+            assertTrue(
+                    client.bytesRead() > listBytes / 2 && client.bytesRead() < listBytes, "half of the list arrived");
         }
     }
 
     @Test
-    void aFirstLineMayNeverEnd() throws IOException {
-        server.mode(DiscoveryMode.FIRST_LINE_NEVER_ENDS);
+    void canSendAnEndlessFirstLine() throws IOException {
+        server.setMode(DiscoveryMode.FIRST_LINE_ENDLESS);
         final int tenTimesTheList = 10 * history.lineAfter(0).length;
         try (RawHttpClient client = watch(0)) {
             while (client.bytesRead() < tenTimesTheList) {
@@ -181,35 +182,35 @@
         BoundedWait.until("the server's counts", () -> !server.traffic().get(0).open());
         try (RawHttpClient client = new RawHttpClient(server.address())) {
             client.request("GET /discovery/hosts", "");
-            assertEquals(200, client.status(), "the server goes on once the reader has left");
+            assertEquals(200, client.status(), "the server responds after the client of the endless line disconnected");
         }
     }
 
     @Test
-    void aFirstLineMayRepeatAnEntry() throws IOException {
-        server.mode(DiscoveryMode.FIRST_LINE_REPEATS_AN_ENTRY);
+    void canDuplicateAnEntryInTheFirstLine() throws IOException {
+        server.setMode(DiscoveryMode.FIRST_LINE_DUPLICATE_ENTRY);
         try (RawHttpClient client = watch(0)) {
-            final List<String> hosts = json(client.line()).path("hosts").findValuesAsText("host");
+            final List<String> hosts = parse(client.line()).path("hosts").findValuesAsText("host");
             assertEquals(ENDPOINTS + 1, hosts.size());
             assertEquals(ENDPOINTS, new HashSet<>(hosts).size());
         }
     }
 
     @Test
-    void aFirstLineMayBeOlderThanWhatWasAskedFor() throws IOException {
-        changeOne();
-        changeOne();
-        server.mode(DiscoveryMode.FIRST_LINE_OLDER_VERSION);
+    void canSendAStaleVersionInTheFirstLine() throws IOException {
+        changeOneEntry();
+        changeOneEntry();
+        server.setMode(DiscoveryMode.FIRST_LINE_STALE_VERSION);
         try (RawHttpClient client = watch(3)) {
-            final JsonNode list = json(client.line());
+            final JsonNode list = parse(client.line());
             assertTrue(list.path("whole").asBoolean());
             assertEquals(2, list.path("seq").asLong());
         }
     }
 
     @Test
-    void aFirstLineMayBeIndented() throws IOException {
-        server.mode(DiscoveryMode.FIRST_LINE_INDENTED);
+    void canPrettyPrintTheFirstLine() throws IOException {
+        server.setMode(DiscoveryMode.FIRST_LINE_INDENTED);
         try (RawHttpClient client = watch(0)) {
             final StringBuilder text = new StringBuilder();
             int lines = 0;
@@ -218,29 +219,29 @@
                 text.append(line).append('\n');
             }
             assertTrue(lines > ENDPOINTS, lines + " lines");
-            assertEquals(ENDPOINTS, json(text.toString()).path("hosts").size());
+            assertEquals(ENDPOINTS, parse(text.toString()).path("hosts").size());
         }
     }
 
     @Test
-    void afterAMoveTheOldAddressRefusesAndItsConnectionsEnd() throws IOException {
+    void refusesConnectionsToTheOldAddressAfterAMoveAndClosesOpenOnes() throws IOException {
         final InetSocketAddress old = server.address();
         try (RawHttpClient client = watch(1)) {
             assertEquals("", client.line());
             final InetSocketAddress moved = server.move();
             assertNotEquals(old, moved);
             assertThrows(ConnectException.class, () -> new RawHttpClient(old).close());
-            changeOne();
-            assertEquals(2, json(client.line()).path("seq").asLong(), "open connections are served for a while");
-            assertNull(client.line(), "and end then");
-            try (RawHttpClient fresh = watch(1)) {
-                assertEquals(2, json(fresh.line()).path("seq").asLong());
+            changeOneEntry();
+            assertEquals(2, parse(client.line()).path("seq").asLong(), "open connections are served for a while");
+            assertNull(client.line(), "open connections are closed after the grace period");
+            try (RawHttpClient newWatch = watch(1)) {
+                assertEquals(2, parse(newWatch.line()).path("seq").asLong());
             }
         }
     }
 
     @Test
-    void noticesAreReadAndWhatCannotBeReadIsRefusedWhole() throws IOException {
+    void recordsNoticesAndRejectsMalformedOnesWhole() throws IOException {
         try (RawHttpClient client = new RawHttpClient(server.address())) {
             client.request(
                     "POST /v1/outcomes",
--- a/src/test/java/railspar/scale/standin/FleetPlanTest.java
+++ b/src/test/java/railspar/scale/standin/FleetPlanTest.java
@@ -14,7 +14,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** The list that a plan gives: its size, its spread, and that the seed alone decides it. */
+/** Checks the endpoint list of a plan: its size, its distribution, and that it depends on the seed alone. */
 final class FleetPlanTest {
     private static final InetSocketAddress DIAL = new InetSocketAddress("127.0.0.1", 7070);
 
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void theListHasThePlannedNumberOfEndpointsAndEachDestinationHasOneOrTwo() {
+    void listsThePlannedNumberOfEndpointsWithOneOrTwoPerDestination() {
         final List<EndpointEntry> list = plan(1).endpoints(DIAL);
         assertEquals(76_500, list.size());
         final Map<Long, Long> counts =
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void theSeedAloneDecides() {
+    void theSameSeedGivesTheSamePlan() {
         assertEquals(plan(1).endpoints(DIAL), plan(1).endpoints(DIAL));
         assertEquals(plan(1).downDestinations(), plan(1).downDestinations());
         assertNotEquals(plan(1).endpoints(DIAL), plan(2).endpoints(DIAL));
@@ -48,11 +48,11 @@
     }
 
     @Test
-    void zonesAreUsedEvenlyAndSpreadOverAllRegions() {
+    void distributesEndpointsEvenlyOverZonesInAllRegions() {
         final Map<String, Long> counts = plan(1).endpoints(DIAL).stream()
                 .collect(Collectors.groupingBy(EndpointEntry::site, Collectors.counting()));
         assertEquals(9, counts.size());
-        counts.values().forEach(count -> assertTrue(Math.abs(count - 8500) < 300, "evenly: " + counts));
+        counts.values().forEach(count -> assertTrue(Math.abs(count - 8500) < 300, "evenly distributed: " + counts));
         final Set<String> regions = counts.keySet().stream()
                 .map((Function<String, String>) name -> name.substring(0, 2))
                 .collect(Collectors.toSet());
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void plansThatContradictThemselvesAreRefused() {
+    void rejectsInconsistentPlans() {
         assertThrows(IllegalArgumentException.class, () -> new FleetPlan(0, 1, 1, 0, 1, 1, 1));
         assertThrows(IllegalArgumentException.class, () -> new FleetPlan(1, 0, 1, 0, 1, 1, 1));
         assertThrows(IllegalArgumentException.class, () -> new FleetPlan(1, 1, 0.5, 0, 1, 1, 1));
--- a/src/test/java/railspar/scale/standin/ListHistoryTest.java
+++ b/src/test/java/railspar/scale/standin/ListHistoryTest.java
@@ -12,20 +12,20 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a history says to one who has a version: the changes since, each endpoint once, or the whole list. */
+/** Checks the line for a client that has a version: the changes since, with each endpoint once, or the whole list. */
 final class ListHistoryTest {
     private static final InetSocketAddress DIAL = new InetSocketAddress("127.0.0.1", 7070);
 
-    private final List<EndpointEntry> first = new FleetPlan(1, 10, 1.7, 0, 1, 1, 1).endpoints(DIAL);
-    private final ListHistory history = new ListHistory(first);
+    private final List<EndpointEntry> initialEntries = new FleetPlan(1, 10, 1.7, 0, 1, 1, 1).endpoints(DIAL);
+    private final ListHistory history = new ListHistory(initialEntries);
 
     private static JsonNode parse(final byte[] line) throws IOException {
-        assertEquals('\n', line[line.length - 1], "a line ends");
+        assertEquals('\n', line[line.length - 1], "the line ends with a line feed");
         return new ObjectMapper().readTree(line);
     }
 
     @Test
-    void anEntryIsWrittenAsTheProtocolShowsIt() throws IOException {
+    void encodesAnEntryInTheFormatOfTheProtocol() throws IOException {
         final JsonNode entry = parse(new ListHistory(List.of(new EndpointEntry(
                                 "s-5be2a07c", "10.1.0.18:7070", "a", "m2", 3, EndpointEntry.Health.READY, 1.0, 0)))
                         .lineAfter(0))
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void withoutAVersionOrWithAnUnknownOneTheWholeListIsSent() throws IOException {
+    void sendsTheWholeListToClientsWithoutAKnownVersion() throws IOException {
         for (final long after : new long[] {-1, 0, 2}) {
             assertTrue(history.isWholeAfter(after));
             final JsonNode line = parse(history.lineAfter(after));
@@ -46,13 +46,13 @@
             assertEquals(1, line.path("seq").asLong());
             assertEquals(17, line.path("hosts").size());
         }
-        assertSame(history.lineAfter(0), history.lineAfter(0), "encoded once for all that ask");
+        assertSame(history.lineAfter(0), history.lineAfter(0), "the line is encoded once for all clients");
     }
 
     @Test
-    void whatChangedSinceIsSentWithEachEndpointOnce() throws IOException {
-        final EndpointEntry one = first.get(0);
-        final EndpointEntry other = first.get(1);
+    void sendsTheChangesSinceAVersionWithEachEndpointOnce() throws IOException {
+        final EndpointEntry one = initialEntries.get(0);
+        final EndpointEntry other = initialEntries.get(1);
         assertEquals(2, history.change(List.of(one.withHealth(EndpointEntry.Health.TERMINATING), other)));
         assertEquals(3, history.change(List.of(one.withHealth(EndpointEntry.Health.GONE))));
         assertFalse(history.isWholeAfter(1));
@@ -68,17 +68,17 @@
                         .toList());
         assertEquals(1, parse(history.lineAfter(2)).path("hosts").size());
         assertEquals(0, parse(history.lineAfter(3)).path("hosts").size());
-        assertEquals(16, parse(history.lineAfter(0)).path("hosts").size(), "what is gone is in no whole list");
-        assertSame(history.lineAfter(1), history.lineAfter(1), "encoded once for all that ask");
+        assertEquals(16, parse(history.lineAfter(0)).path("hosts").size(), "removed endpoints are not in the list");
+        assertSame(history.lineAfter(1), history.lineAfter(1), "the line is encoded once for all clients");
     }
 
     @Test
-    void oneWhoseVersionIsOlderThanWhatIsKeptGetsTheWholeList() {
-        final ListHistory brief = new ListHistory(first, 2);
+    void sendsTheWholeListToClientsWithAVersionOlderThanTheRetainedOnes() {
+        final ListHistory shortHistory = new ListHistory(initialEntries, 2);
         for (int count = 0; count < 3; count++) {
-            brief.change(List.of(first.get(0)));
+            shortHistory.change(List.of(initialEntries.get(0)));
         }
-        assertTrue(brief.isWholeAfter(1));
-        assertFalse(brief.isWholeAfter(2));
+        assertTrue(shortHistory.isWholeAfter(1));
+        assertFalse(shortHistory.isWholeAfter(2));
     }
 }
--- a/src/test/java/railspar/scale/standin/RawHttpClient.java
+++ b/src/test/java/railspar/scale/standin/RawHttpClient.java
@@ -9,46 +9,46 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** A plain HTTP client for tests: it reads a chunked answer line by line and counts all bytes it reads. */
+/** A plain HTTP client for tests. It reads a chunked response line by line and counts the bytes of both directions. */
 final class RawHttpClient implements AutoCloseable {
-    private static final int PATIENCE_MS = 20_000;
-    private static final int HEX = 16;
+    private static final int READ_TIMEOUT_MS = 20_000;
+    private static final int CHUNK_SIZE_RADIX = 16;
 
     private final Socket socket;
     private final InputStream in;
     private long bytesRead;
     private long bytesWritten;
     private byte[] chunk = {};
-    private int position;
+    private int chunkPosition;
     private String statusLine;
     private String retryAfter;
 
     RawHttpClient(final InetSocketAddress address) throws IOException {
         socket = new Socket(address.getAddress(), address.getPort());
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(READ_TIMEOUT_MS);
         in = new BufferedInputStream(socket.getInputStream());
     }
 
-    /** Sends a request and reads the head of its answer; the result is the value of Content-Length, or -1. */
-    int request(final String head, final String body, final String... headers) throws IOException {
-        send(head, body, headers);
+    /** Sends a request, reads the head of the response and returns the value of Content-Length, or -1. */
+    int request(final String requestLine, final String body, final String... headers) throws IOException {
+        send(requestLine, body, headers);
         return readHead();
     }
 
-    void send(final String head, final String body, final String... headers) throws IOException {
-        final String more = headers.length == 0 ? "" : String.join("\r\n", headers) + "\r\n";
-        final byte[] bytes = (head + " HTTP/1.1\r\nHost: x\r\n" + more + "Content-Length: " + body.length() + "\r\n\r\n"
-                        + body)
+    void send(final String requestLine, final String body, final String... headers) throws IOException {
+        final String headerLines = headers.length == 0 ? "" : String.join("\r\n", headers) + "\r\n";
+        final byte[] bytes = (requestLine + " HTTP/1.1\r\nHost: x\r\n" + headerLines + "Content-Length: "
+                        + body.length() + "\r\n\r\n" + body)
                 .getBytes(StandardCharsets.UTF_8);
         socket.getOutputStream().write(bytes);
         bytesWritten += bytes.length;
     }
 
     int readHead() throws IOException {
-        statusLine = headLine();
+        statusLine = readHeadLine();
         int length = -1;
         retryAfter = null;
-        for (String line = headLine(); !line.isEmpty(); line = headLine()) {
+        for (String line = readHeadLine(); !line.isEmpty(); line = readHeadLine()) {
             final String name = line.substring(0, line.indexOf(':')).toLowerCase(Locale.ROOT);
             final String value = line.substring(line.indexOf(':') + 1).trim();
             if (name.equals("content-length")) {
@@ -64,7 +64,7 @@
         return Integer.parseInt(statusLine.split(" ")[1]);
     }
 
-    /** The time to wait that the last answer told, or null. */
+    /** The value of Retry-After in the last response, or null. */
     String retryAfter() {
         return retryAfter;
     }
@@ -74,7 +74,7 @@
         return new String(in.readNBytes(length), StandardCharsets.UTF_8);
     }
 
-    /** The next line of a chunked answer without its line feed, or null where the answer ends in the middle of one. */
+    /** The next line of a chunked response without its line feed, or null if the response ends within a line. */
     String line() throws IOException {
         final ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int next = next(); next != '\n'; next = next()) {
@@ -86,20 +86,20 @@
         return line.toString(StandardCharsets.UTF_8);
     }
 
-    /** The next byte inside the chunks, or -1. */
+    /** The next byte of the chunks' content, or -1 at the end. */
     int next() throws IOException {
-        if (position == chunk.length) {
-            final String size = headLine();
-            final int length = size.isEmpty() ? 0 : Integer.parseInt(size, HEX);
+        if (chunkPosition == chunk.length) {
+            final String size = readHeadLine();
+            final int length = size.isEmpty() ? 0 : Integer.parseInt(size, CHUNK_SIZE_RADIX);
             if (length == 0) {
                 return -1;
             }
             chunk = in.readNBytes(length);
-            position = 0;
+            chunkPosition = 0;
             bytesRead += chunk.length;
-            headLine();
+            readHeadLine();
         }
-        return chunk[position++] & 0xff;
+        return chunk[chunkPosition++] & 0xff;
     }
 
     long bytesRead() {
@@ -110,7 +110,7 @@
         return bytesWritten;
     }
 
-    private String headLine() throws IOException {
+    private String readHeadLine() throws IOException {
         final ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int next = in.read(); next >= 0 && next != '\n'; next = in.read()) {
             line.write(next);
