--- a/deploy/heap.sh
+++ b/deploy/heap.sh
@@ -1,57 +1,57 @@
-# Sizes the courier's heap by limits.memory_mb of the configuration file, for `run` in balancer.toml, which sources this.
+# Computes the courier's heap sizes from limits.memory_mb of the configuration file. `run` in balancer.toml sources it.
 #
-#   heap      the most that it grows to, in MiB
-#   initial   what it begins with, in MiB
+#   heap      maximum heap size, in MiB
+#   initial   initial heap size, in MiB
 #
-# Only builtins of the shell are used: a courier may not start another process. `read` takes a byte at a time, so the
-# file is read no further than the line that has the figure; on a line, it is looked for ahead of the list of endpoints
-# ("known"), where the platform writes it. Without a figure, the sizes are the defaults.
+# Only shell builtins are used: a courier may not start another process. `read` reads one byte at a time, so the file is
+# read only up to the line that has the value. On a line, the value is searched before the list of endpoints ("known"),
+# where the platform writes it. Without a value, the defaults apply.
 
-# What is not heap: class data, metaspace, compiled code, stacks, symbols and direct buffers. An idle courier has 53 MiB of
-# it resident; code that is compiled later and direct buffers (16 MiB at most) come on top.
-other=64
-# Less than this holds no courier at all.
-least=24
+# Memory outside the heap: class data, metaspace, compiled code, stacks, symbols and direct buffers. An idle courier has
+# 53 MiB of it resident; code that is compiled later and direct buffers (16 MiB at most) come on top.
+non_heap_mib=64
+# A courier does not run with a smaller heap.
+min_heap_mib=24
 heap=64
 initial=32
 
-limit=
+value=
 while IFS= read -r line || [ -n "$line" ]; do
     line=${line%%'"known"'*}
     case $line in
         *'"memory_mb"'*:*)
-            limit=${line#*'"memory_mb"'*:}
+            value=${line#*'"memory_mb"'*:}
             break
             ;;
     esac
 done 2>/dev/null <"$PROXY_CONFIG"
 
-# A number, or one in quotes; the part behind its point does not matter.
+# Accepts a number, with or without quotes; its decimal places are ignored.
 while :; do
-    case $limit in
-        [[:blank:]\"]*) limit=${limit#?} ;;
+    case $value in
+        [[:blank:]\"]*) value=${value#?} ;;
         *) break ;;
     esac
 done
-megabytes=${limit%%[!0-9]*}
-case ${limit#"$megabytes"} in
+memory_mb=${value%%[!0-9]*}
+case ${value#"$memory_mb"} in
     '' | [].,}\"[:space:]]*) ;;
-    *) megabytes= ;;
+    *) memory_mb= ;;
 esac
-case $megabytes in
+case $memory_mb in
     '' | 0* | ???????*) ;;
     *)
-        # From 10^6 bytes to MiB. Memory beyond nine tenths of the limit has its price, so the heap stays below that
-        # unless it would be smaller than the default.
-        whole=$((megabytes * 15625 / 16384 - other))
-        priced=$((megabytes * 15625 * 9 / 163840 - other))
-        if [ "$priced" -ge "$heap" ]; then
-            heap=$priced
-        elif [ "$whole" -lt "$heap" ]; then
-            heap=$whole
+        # Converts 10^6 bytes to MiB. Memory use above nine tenths of the limit is charged for, so the heap stays below
+        # that unless it would then be smaller than the default.
+        full_limit_heap_mib=$((memory_mb * 15625 / 16384 - non_heap_mib))
+        uncharged_heap_mib=$((memory_mb * 15625 * 9 / 163840 - non_heap_mib))
+        if [ "$uncharged_heap_mib" -ge "$heap" ]; then
+            heap=$uncharged_heap_mib
+        elif [ "$full_limit_heap_mib" -lt "$heap" ]; then
+            heap=$full_limit_heap_mib
         fi
-        if [ "$heap" -lt "$least" ]; then
-            heap=$least
+        if [ "$heap" -lt "$min_heap_mib" ]; then
+            heap=$min_heap_mib
         fi
         if [ "$heap" -lt "$initial" ]; then
             initial=$heap
