--- a/src/test/java/railspar/node/FatalErrorTest.java
+++ b/src/test/java/railspar/node/FatalErrorTest.java
@@ -19,51 +19,51 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** An error on the event loop ends the process with a line and a status, instead of leaving it alive and deaf. */
+/** A fatal error on the event loop ends the process with a log line and an exit status, instead of hanging it. */
 @Timeout(60)
 final class FatalErrorTest {
-    private static final long PATIENCE_S = 30;
+    private static final long TIMEOUT_S = 30;
     private static final String THROWN = "thrown by the test";
 
-    /** What a child process runs. */
+    /** The fault that a child process causes. */
     enum Fault {
         FULL_HEAP {
             @Override
-            void arise(final EventLoop loop) {
+            void trigger(final EventLoop loop) {
                 loop.execute(() -> {
-                    final List<byte[]> held = new ArrayList<>();
-                    while (!held.contains(null)) {
-                        held.add(new byte[1 << 16]);
+                    final List<byte[]> blocks = new ArrayList<>();
+                    while (!blocks.contains(null)) {
+                        blocks.add(new byte[1 << 16]);
                     }
                 });
             }
         },
         IN_A_TASK {
             @Override
-            void arise(final EventLoop loop) {
+            void trigger(final EventLoop loop) {
                 loop.execute(Fault::fail);
             }
         },
         IN_A_TIMER {
             @Override
-            void arise(final EventLoop loop) {
+            void trigger(final EventLoop loop) {
                 loop.schedule(Fault::fail, 1, TimeUnit.MILLISECONDS);
             }
         },
         IN_A_REPEATED_TIMER {
             @Override
-            void arise(final EventLoop loop) {
+            void trigger(final EventLoop loop) {
                 loop.scheduleWithFixedDelay(Fault::fail, 1, 1, TimeUnit.MILLISECONDS);
             }
         },
         BEHIND_AN_EXCEPTION {
             @Override
-            void arise(final EventLoop loop) {
+            void trigger(final EventLoop loop) {
                 FatalError.exitOn("a handler", new IllegalStateException(new OutOfMemoryError(THROWN)));
             }
         };
 
-        abstract void arise(EventLoop loop);
+        abstract void trigger(EventLoop loop);
 
         private static void fail() {
             throw new OutOfMemoryError(THROWN);
@@ -77,14 +77,14 @@
         public static void main(final String[] args) throws InterruptedException {
             final EventLoopGroup group =
                     new MillisecondTimerLoopGroup(new DefaultThreadFactory("child"), NioIoHandler.newFactory());
-            Fault.valueOf(args[0]).arise(group.next());
+            Fault.valueOf(args[0]).trigger(group.next());
             new CountDownLatch(1).await();
         }
     }
 
-    private record End(int status, String output) {}
+    private record ProcessResult(int status, String output) {}
 
-    private static End run(final Fault fault) throws IOException, InterruptedException {
+    private static ProcessResult run(final Fault fault) throws IOException, InterruptedException {
         final Process child = new ProcessBuilder(
                         System.getProperty("java.home") + "/bin/java",
                         "-Xmx16m",
@@ -97,52 +97,52 @@
                 .redirectErrorStream(true)
                 .start();
         try {
-            child.onExit().orTimeout(PATIENCE_S, TimeUnit.SECONDS).exceptionally(late -> child.destroyForcibly());
+            child.onExit().orTimeout(TIMEOUT_S, TimeUnit.SECONDS).exceptionally(timeout -> child.destroyForcibly());
             final String output = new String(child.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertTrue(child.waitFor(PATIENCE_S, TimeUnit.SECONDS), "still alive; " + output);
-            return new End(child.exitValue(), output);
+            assertTrue(child.waitFor(TIMEOUT_S, TimeUnit.SECONDS), "still alive; " + output);
+            return new ProcessResult(child.exitValue(), output);
         } finally {
             child.destroyForcibly();
         }
     }
 
     @Test
-    void memoryThatRunsOutEndsTheProcessWithALine() throws Exception {
-        final End end = run(Fault.FULL_HEAP);
-        assertEquals(FatalError.EXIT_STATUS, end.status(), end.output());
-        assertTrue(end.output().contains("Terminating due to java.lang.OutOfMemoryError"), end.output());
+    void outOfMemoryEndsTheProcessWithALogLine() throws Exception {
+        final ProcessResult result = run(Fault.FULL_HEAP);
+        assertEquals(FatalError.EXIT_STATUS, result.status(), result.output());
+        assertTrue(result.output().contains("Terminating due to java.lang.OutOfMemoryError"), result.output());
     }
 
     @Test
-    void anErrorInATaskOrATimerEndsTheProcessWithALine() throws Exception {
+    void errorInATaskOrTimerEndsTheProcessWithALogLine() throws Exception {
         for (final Fault fault : List.of(Fault.IN_A_TASK, Fault.IN_A_TIMER, Fault.IN_A_REPEATED_TIMER)) {
-            final End end = run(fault);
-            assertEquals(FatalError.EXIT_STATUS, end.status(), fault + ": " + end.output());
+            final ProcessResult result = run(fault);
+            assertEquals(FatalError.EXIT_STATUS, result.status(), fault + ": " + result.output());
             assertTrue(
-                    end.output().contains("terminating: event loop: java.lang.OutOfMemoryError: " + THROWN),
-                    fault + ": " + end.output());
+                    result.output().contains("terminating: event loop: java.lang.OutOfMemoryError: " + THROWN),
+                    fault + ": " + result.output());
         }
     }
 
     @Test
-    void anErrorBehindAnExceptionEndsTheProcessWithALine() throws Exception {
-        final End end = run(Fault.BEHIND_AN_EXCEPTION);
-        assertEquals(FatalError.EXIT_STATUS, end.status(), end.output());
-        assertTrue(end.output().contains("terminating: a handler: java.lang.OutOfMemoryError: " + THROWN));
+    void errorThatCausedAnExceptionEndsTheProcessWithALogLine() throws Exception {
+        final ProcessResult result = run(Fault.BEHIND_AN_EXCEPTION);
+        assertEquals(FatalError.EXIT_STATUS, result.status(), result.output());
+        assertTrue(result.output().contains("terminating: a handler: java.lang.OutOfMemoryError: " + THROWN));
     }
 
     @Test
-    void aClassThatCannotBeReadForWantOfADescriptorEndsNothing() {
-        final NoClassDefFoundError unread = new NoClassDefFoundError("railspar/Later");
-        FatalError.exitOn("a handler", unread);
+    void classThatCannotBeLoadedWithoutAFreeDescriptorDoesNotEndTheProcess() {
+        final NoClassDefFoundError loadError = new NoClassDefFoundError("railspar/Later");
+        FatalError.exitOn("a handler", loadError);
         final Runnable task = FatalError.guarded(() -> {
-            throw unread;
+            throw loadError;
         });
-        assertSame(unread, assertThrows(NoClassDefFoundError.class, task::run));
+        assertSame(loadError, assertThrows(NoClassDefFoundError.class, task::run));
     }
 
     @Test
-    void anyOtherExceptionEndsNothing() {
+    void otherExceptionsDoNotEndTheProcess() {
         FatalError.exitOn("a handler", new IllegalStateException(new IOException("reset")));
         final boolean[] ran = new boolean[1];
         FatalError.guarded(() -> ran[0] = true).run();
--- a/src/test/java/railspar/node/HandoverTest.java
+++ b/src/test/java/railspar/node/HandoverTest.java
@@ -20,11 +20,11 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** A process that takes over from one that still runs: to clients and endpoints the two are one courier. */
+/** A process takes over from one that still runs: to clients and endpoints the two processes are one courier. */
 final class HandoverTest extends AbstractCourierProcessTest {
     private static final long STOP_LIMIT_MS = 3700;
 
-    private static void silentTo(final FakeServer server, final String id) {
+    private static void neverAnswer(final FakeServer server, final String id) {
         server.script((request, connection) -> {
             if (!request.ids().contains(id)) {
                 connection.accept(request);
@@ -33,8 +33,8 @@
     }
 
     @Test
-    void aCallThatIsOutGoesOnAndTheNextOfItsKeyWaitsForItAcrossTheTwo() throws IOException, InterruptedException {
-        silentTo(fixture.first, "m1");
+    void callInFlightContinuesAndTheNextMessageOfItsKeyWaitsInTheSuccessor() throws IOException, InterruptedException {
+        neverAnswer(fixture.first, "m1");
         fixture.start();
         assertEquals(
                 202,
@@ -46,17 +46,19 @@
                 202,
                 fixture.send(CourierProcessFixture.orderedMessage("m2", "k")).status());
         assertEquals(202, fixture.submit("m3", "safe").status());
-        fixture.await("another one's call", () -> fixture.first.ids().contains("m3"));
-        assertEquals(List.of("m1", "m3"), fixture.first.ids(), "the key is taken");
+        fixture.await(
+                "the call of the message without a key",
+                () -> fixture.first.ids().contains("m3"));
+        assertEquals(List.of("m1", "m3"), fixture.first.ids(), "the key has a call in flight");
         fixture.first.requests.get(0).connection().answer(200, "");
-        fixture.await("its turn", () -> fixture.first.ids().contains("m2"));
+        fixture.await("the next call of the key", () -> fixture.first.ids().contains("m2"));
         assertEquals(1, fixture.first.ids().stream().filter("m1"::equals).count());
-        assertTrue(old.waitFor(STOP_LIMIT_MS, TimeUnit.MILLISECONDS), "with nothing out, the old one ends");
+        assertTrue(old.waitFor(STOP_LIMIT_MS, TimeUnit.MILLISECONDS), "the old process ends once no call is in flight");
         assertTrue(fixture.notices.isEmpty(), fixture.notices.toString());
     }
 
     @Test
-    void whatWasOutWhenTheOldOneIsKilledMayHaveRun() throws IOException, InterruptedException {
+    void callsInFlightWhenTheOldProcessIsKilledCountAsPossiblyDelivered() throws IOException, InterruptedException {
         fixture.first.script((request, connection) -> {});
         fixture.start();
         assertEquals(202, fixture.submit("m1", "once").status());
@@ -65,53 +67,58 @@
         final Process old = fixture.startSuccessor();
         fixture.first.script((request, connection) -> connection.accept(request));
         fixture.endOldProcess(old, true);
-        fixture.await("its notice", () -> fixture.hasNotice("m1", "undeliverable"));
-        fixture.await("the safe one's second call", () -> fixture.first.ids().size() == 3);
+        fixture.await("the notice", () -> fixture.hasNotice("m1", "undeliverable"));
+        fixture.await(
+                "the second call of the safe message", () -> fixture.first.ids().size() == 3);
         assertEquals(List.of("m1", "m2", "m2"), fixture.first.ids());
     }
 
     @Test
-    void whatIsOutWhenTheOldOneIsKilledWhileItLeavesMayHaveRun() throws IOException, InterruptedException {
+    void callsInFlightWhenTheOldProcessIsKilledDuringHandoverCountAsPossiblyDelivered()
+            throws IOException, InterruptedException {
         fixture.hasOperatorAddress = true;
         fixture.first.script((request, connection) -> {});
         fixture.start();
         assertEquals(202, fixture.submit("m1", "once").status());
-        // They travel on connections of their own: the order in which they are read is forced, not hoped for.
+        // The calls use separate connections; waiting for the first call fixes the order in which they are read.
         fixture.await("the first call", () -> fixture.first.requests.size() == 1);
         assertEquals(202, fixture.submit("m2", "safe").status());
         fixture.await("the calls", () -> fixture.first.requests.size() == 2);
         final Process old = fixture.startSuccessor();
         fixture.endOldProcess(old, false);
-        assertTrue(fixture.notices.isEmpty(), "they are still out");
+        assertTrue(fixture.notices.isEmpty(), "the calls are still in flight");
         assertEquals(2, fixture.first.requests.size());
         fixture.first.script((request, connection) -> connection.accept(request));
         old.destroyForcibly();
-        fixture.await("its notice", () -> fixture.hasNotice("m1", "undeliverable"));
+        fixture.await("the notice", () -> fixture.hasNotice("m1", "undeliverable"));
         fixture.awaitMetric("results.safe.succeeded", 1);
         fixture.killAndRestart();
         assertEquals(202, fixture.submit("m3", "safe").status());
         fixture.await("m3", () -> fixture.first.ids().contains("m3"));
-        assertEquals(List.of("m1", "m2", "m2", "m3"), fixture.first.ids(), "a third process knows all of it");
+        assertEquals(
+                List.of("m1", "m2", "m2", "m3"),
+                fixture.first.ids(),
+                "a third process knows the state of all messages");
     }
 
     @Test
-    void aWaitThatTheOldOneWasToldBindsTheNewOne() throws IOException {
-        final long waitS = 4;
-        fixture.first.script((request, connection) -> connection.answer(429, "", "Retry-After: " + waitS));
+    void retryAfterReceivedByTheOldProcessAppliesToTheSuccessor() throws IOException {
+        final long retryAfterS = 4;
+        fixture.first.script((request, connection) -> connection.answer(429, "", "Retry-After: " + retryAfterS));
         fixture.start();
         assertEquals(202, fixture.submit("m1", "safe").status());
-        fixture.await("the refusal", () -> fixture.first.requests.size() == 1);
-        final long toldNs = fixture.first.requests.get(0).atNs();
+        fixture.await("the rejected call", () -> fixture.first.requests.size() == 1);
+        final long rejectedNs = fixture.first.requests.get(0).atNs();
         fixture.first.script((request, connection) -> connection.accept(request));
         fixture.endOldProcess(fixture.startSuccessor(), false);
         assertEquals(202, fixture.submit("m2", "safe").status());
         fixture.await("the next call", () -> fixture.first.requests.size() > 1);
-        assertTrue(fixture.first.requests.get(1).atNs() - toldNs >= TimeUnit.SECONDS.toNanos(waitS));
+        assertTrue(fixture.first.requests.get(1).atNs() - rejectedNs >= TimeUnit.SECONDS.toNanos(retryAfterS));
     }
 
     @Test
-    void aMessageOnAConnectionThatIsKeptToTheOldOneIsTakenAndDeliveredOnce() throws IOException {
-        silentTo(fixture.first, "m1");
+    void messageOnAConnectionKeptToTheOldProcessIsAcceptedAndDeliveredOnce() throws IOException {
+        neverAnswer(fixture.first, "m1");
         fixture.start();
         final Socket kept = fixture.connect();
         assertEquals(
@@ -120,20 +127,22 @@
                         .status());
         fixture.await("the call", () -> fixture.first.requests.size() == 1);
         fixture.endOldProcess(fixture.startSuccessor(), false);
-        final CourierProcessFixture.Answer late =
+        final CourierProcessFixture.Answer lateAnswer =
                 CourierProcessFixture.send(kept, CourierProcessFixture.orderedMessage("m2", "k"));
-        assertEquals(202, late.status());
-        assertTrue(late.head().contains("connection: close"), "and the client is sent to the new one");
+        assertEquals(202, lateAnswer.status());
+        assertTrue(
+                lateAnswer.head().contains("connection: close"),
+                "the response closes the connection, so the client moves to the successor");
         assertEquals(
                 202,
                 fixture.send(CourierProcessFixture.orderedMessage("m3", "k")).status());
         fixture.first.requests.get(0).connection().answer(200, "");
-        fixture.await("all of them", () -> fixture.first.ids().size() == 3);
-        assertEquals(List.of("m1", "m2", "m3"), fixture.first.ids(), "in the order taken, by whichever process");
+        fixture.await("all three deliveries", () -> fixture.first.ids().size() == 3);
+        assertEquals(List.of("m1", "m2", "m3"), fixture.first.ids(), "in the order of acceptance, by either process");
     }
 
     @Test
-    void anIdleConnectionIsClosedAndTheOldOneEndsBeforeTheKill() throws IOException, InterruptedException {
+    void idleConnectionIsClosedAndTheOldProcessEndsBeforeSigkill() throws IOException, InterruptedException {
         fixture.start();
         final Socket idle = fixture.connect();
         assertEquals(
@@ -147,96 +156,96 @@
     }
 
     @Test
-    void aCallToEitherProcessHoldsForBoth() throws IOException {
+    void operatorCommandToEitherProcessAppliesToBoth() throws IOException {
         fixture.hasOperatorAddress = true;
         fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + ","
                 + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
         fixture.start();
         final Process old = fixture.startSuccessor();
-        assertEquals("+OK\n", fixture.operatorCommand("OFFLINE e1"), "the new one, which only stands by, was called");
+        assertEquals("+OK\n", fixture.operatorCommand("OFFLINE e1"), "the command went to the standby process");
         fixture.await(
-                "the old one to know",
+                "the override in the old process",
                 () -> fixture.log.stream()
                                 .filter(line -> line.startsWith("by hand: 1"))
                                 .count()
                         == 2);
         assertEquals(202, fixture.submit("m1", "safe").status());
         assertEquals(202, fixture.submit("m2", "safe").status());
-        fixture.await("their calls", () -> fixture.second.requests.size() == 2);
+        fixture.await("the two calls", () -> fixture.second.requests.size() == 2);
         fixture.endOldProcess(old, false);
         assertEquals(202, fixture.submit("m3", "safe").status());
-        fixture.await("its call", () -> fixture.second.requests.size() == 3);
+        fixture.await("the third call", () -> fixture.second.requests.size() == 3);
         assertEquals(0, fixture.first.requests.size());
     }
 
     @Test
-    void filesThatWereLeftBehindDoNotStopAStart() throws IOException {
+    void leftoverLockAndHandoverFilesDoNotPreventAStart() throws IOException {
         final Path state = Files.createDirectories(folder.resolve("state"));
         Files.writeString(state.resolve("owner.lock"), "123");
         Files.writeString(state.resolve("next.lock"), "124");
-        final Path torn = state.resolve("leaving-17-1");
-        Files.writeString(torn, "torn in the middle of some");
+        final Path tornFile = state.resolve("leaving-17-1");
+        Files.writeString(tornFile, "torn in the middle of some");
         fixture.start();
         assertEquals(202, fixture.submit("m1", "safe").status());
         fixture.await("the call", () -> fixture.first.requests.size() == 1);
-        fixture.await("the file to go", () -> !Files.exists(torn));
+        fixture.await("the deletion of the file", () -> !Files.exists(tornFile));
     }
 
     @Test
-    void aSocketThatThePlatformHoldsIsReadFromAndNeverClosed() throws Exception {
+    void inheritedListenerIsAcceptedFromAndNeverClosed() throws Exception {
         final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (ServerSocketChannel shared = ServerSocketChannel.open()) {
             shared.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
             final EventLoop loop = group.next();
             final Config config = fixture.config();
             final Clock clock = new Clock();
-            final ClientServer intake = new ClientServer(config, clock, new MessageService(config, loop, clock));
+            final ClientServer clientServer = new ClientServer(config, clock, new MessageService(config, loop, clock));
             loop.submit(() -> {
-                        intake.startSweeping(loop);
-                        intake.listen(group, shared);
+                        clientServer.startSweeping(loop);
+                        clientServer.listen(group, shared);
                     })
                     .sync();
-            final InetSocketAddress at = (InetSocketAddress) shared.getLocalAddress();
-            try (Socket client = new Socket(at.getAddress(), at.getPort())) {
+            final InetSocketAddress address = (InetSocketAddress) shared.getLocalAddress();
+            try (Socket client = new Socket(address.getAddress(), address.getPort())) {
                 client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(CourierProcessFixture.TIMEOUT_S));
                 assertEquals(
                         200,
                         CourierProcessFixture.send(client, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
                                 .status());
             }
-            assertNull(shared.accept(), "it was accepted already");
-            loop.submit(() -> intake.handOver()).sync();
-            try (Socket client = new Socket(at.getAddress(), at.getPort())) {
+            assertNull(shared.accept(), "the connection was accepted already");
+            loop.submit(() -> clientServer.handOver()).sync();
+            try (Socket client = new Socket(address.getAddress(), address.getPort())) {
                 client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(CourierProcessFixture.TIMEOUT_S));
                 assertEquals(
                         200,
                         CourierProcessFixture.send(client, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
                                 .status(),
-                        "nobody waits while the other process is not at the door yet");
+                        "a client is served while the successor does not accept yet");
             }
-            loop.submit(() -> intake.stopAccepting()).sync();
-            try (Socket client = new Socket(at.getAddress(), at.getPort());
-                    SocketChannel taken = acceptSoon(shared)) {
+            loop.submit(() -> clientServer.stopAccepting()).sync();
+            try (Socket client = new Socket(address.getAddress(), address.getPort());
+                    SocketChannel accepted = acceptNext(shared)) {
                 assertEquals(
                         client.getLocalPort(),
-                        ((InetSocketAddress) taken.getRemoteAddress()).getPort(),
-                        "left to whoever accepts next");
+                        ((InetSocketAddress) accepted.getRemoteAddress()).getPort(),
+                        "the connection is left to the process that accepts next");
             }
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.SECONDS).sync();
         }
     }
 
-    private SocketChannel acceptSoon(final ServerSocketChannel shared) throws IOException {
-        final SocketChannel[] taken = new SocketChannel[1];
+    private SocketChannel acceptNext(final ServerSocketChannel shared) throws IOException {
+        final SocketChannel[] accepted = new SocketChannel[1];
         fixture.await("the next connection", () -> {
             try {
-                taken[0] = taken[0] == null ? shared.accept() : taken[0];
-                return taken[0] != null;
+                accepted[0] = accepted[0] == null ? shared.accept() : accepted[0];
+                return accepted[0] != null;
             } catch (final IOException e) {
                 throw new java.io.UncheckedIOException(e);
             }
         });
-        return taken[0];
+        return accepted[0];
     }
 }
--- a/src/test/java/railspar/node/ShutdownCrossingsTest.java
+++ b/src/test/java/railspar/node/ShutdownCrossingsTest.java
@@ -15,17 +15,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * SIGTERM and a client's bytes, in each order: every request is answered, or was never taken on; no answer is lost.
+ * SIGTERM and a client's bytes in each order: every request is either answered or never accepted, and no response is
+ * lost.
  */
 final class ShutdownCrossingsTest extends AbstractCourierProcessTest {
-    /** Longer than the process listens after SIGTERM. */
-    private static final long LISTENS_MS = 700;
+    /** Longer than the process keeps listening after SIGTERM. */
+    private static final long AFTER_LISTENING_MS = 700;
 
     private static void write(final Socket socket, final String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Sends SIGTERM, and waits until it has had its effect: a client that asked nothing is sent away. */
+    /** Sends SIGTERM and waits until the process has reacted, which is when it closes an idle connection. */
     private Process terminate() throws IOException {
         try (Socket idle = fixture.connect()) {
             final Process ending = fixture.terminate();
@@ -43,25 +44,25 @@
         }
     }
 
-    private static String half(final String message) {
+    private static String firstHalf(final String message) {
         return message.substring(0, message.length() / 2);
     }
 
-    private static String rest(final String message) {
+    private static String secondHalf(final String message) {
         return message.substring(message.length() / 2);
     }
 
     @Test
-    void aProcessThatHoldsNoMessageWaitsForAClientThatIsHalfWayThroughOne() throws IOException, InterruptedException {
+    void processWithoutMessagesWaitsForAnIncompleteRequestBeforeItEnds() throws IOException, InterruptedException {
         fixture.start();
         try (Socket socket = fixture.connect()) {
             final String message = CourierProcessFixture.message("m1", "once");
-            write(socket, half(message));
+            write(socket, firstHalf(message));
             final Process ending = terminate();
             fixture.await("the end of listening", this::refusesConnections);
-            // Where it ended as soon as it held nothing and had stopped listening, it is gone by now.
-            assertFalse(ending.waitFor(200, TimeUnit.MILLISECONDS), "it ended under a client's request");
-            write(socket, rest(message));
+            // A process that ended as soon as it had no message and no listener would have ended by now.
+            assertFalse(ending.waitFor(200, TimeUnit.MILLISECONDS), "the process ended during a client's request");
+            write(socket, secondHalf(message));
             final CourierProcessFixture.Answer answer = CourierProcessFixture.read(socket.getInputStream());
             assertEquals(202, answer.status());
             assertTrue(answer.head().contains("connection: close"), answer.head());
@@ -70,16 +71,16 @@
         }
         fixture.start();
         fixture.await(
-                "its delivery, by either process", () -> fixture.first.ids().contains("m1"));
+                "the delivery by either process", () -> fixture.first.ids().contains("m1"));
         assertEquals(List.of("m1"), fixture.first.ids());
     }
 
     @Test
-    void aRequestThatNeverGetsWholeIsRefusedBeforeTheProcessEnds() throws IOException, InterruptedException {
+    void incompleteRequestIsRejectedBeforeTheProcessEnds() throws IOException, InterruptedException {
         fixture.start();
         final Process ending = terminate();
         try (Socket socket = fixture.connect()) {
-            write(socket, half(CourierProcessFixture.message("m1", "once")));
+            write(socket, firstHalf(CourierProcessFixture.message("m1", "once")));
             final int status =
                     CourierProcessFixture.read(socket.getInputStream()).status();
             assertTrue(status == 503 || status == 408, "status " + status);
@@ -89,7 +90,7 @@
     }
 
     @Test
-    void requestsBehindOneAnotherAreAllAnsweredAndTheLastAnswerSaysClose() throws IOException, InterruptedException {
+    void pipelinedRequestsAreAllAnsweredAndOnlyTheLastResponseCloses() throws IOException, InterruptedException {
         fixture.start();
         final List<String> messages = List.of(
                 CourierProcessFixture.message("m1", "once"),
@@ -97,15 +98,17 @@
                 CourierProcessFixture.message("m3", "once"));
         final Process ending;
         try (Socket socket = fixture.connect()) {
-            write(socket, half(messages.get(0)));
+            write(socket, firstHalf(messages.get(0)));
             ending = terminate();
-            write(socket, rest(messages.get(0)) + messages.get(1) + half(messages.get(2)));
+            write(socket, secondHalf(messages.get(0)) + messages.get(1) + firstHalf(messages.get(2)));
             for (int count = 0; count < 2; count++) {
                 final CourierProcessFixture.Answer answer = CourierProcessFixture.read(socket.getInputStream());
                 assertEquals(202, answer.status());
-                assertFalse(answer.head().contains("connection: close"), "a request is half here: " + answer.head());
+                assertFalse(
+                        answer.head().contains("connection: close"),
+                        "closes although another request is incomplete: " + answer.head());
             }
-            write(socket, rest(messages.get(2)));
+            write(socket, secondHalf(messages.get(2)));
             final CourierProcessFixture.Answer last = CourierProcessFixture.read(socket.getInputStream());
             assertEquals(202, last.status());
             assertTrue(last.head().contains("connection: close"), last.head());
@@ -113,21 +116,23 @@
         }
         assertTrue(ending.waitFor(CourierProcessFixture.TIMEOUT_S, TimeUnit.SECONDS));
         fixture.start();
-        fixture.await("all three, by either process", () -> fixture.first.ids().containsAll(List.of("m1", "m2", "m3")));
+        fixture.await(
+                "all three deliveries by either process",
+                () -> fixture.first.ids().containsAll(List.of("m1", "m2", "m3")));
         assertEquals(3, fixture.first.ids().size());
     }
 
     @Test
-    void anAnswerIsReadThoughItsConnectionEndsOverBytesThatNobodyAskedFor() throws IOException {
+    void responseIsReceivedAlthoughTheConnectionClosesOverUnreadBytes() throws IOException {
         fixture.start();
         try (Socket socket = fixture.connect()) {
             final String last =
                     CourierProcessFixture.message("m1", "safe").replace("Host:", "Connection: close\r\nHost:");
             try {
-                // More than the kernel holds for us: some of it lies unread when the answer is written.
+                // More than the kernel buffers, so that some bytes are still unread when the response is written.
                 write(socket, last + "x".repeat(1 << 22));
             } catch (final IOException e) {
-                assertTrue(e.getMessage() != null, "a close over unread bytes shows here, or in what is read below");
+                assertTrue(e.getMessage() != null, "a close over unread bytes shows here or in the reads below");
             }
             assertEquals(
                     202, CourierProcessFixture.read(socket.getInputStream()).status());
@@ -136,63 +141,61 @@
         fixture.await("the call", () -> fixture.first.ids().contains("m1"));
     }
 
-    /** The program sets it nowhere: each of its sockets, made or accepted, is one of these. */
+    /** The program relies on the default: all of its sockets, connected or accepted, are of this class. */
     @Test
-    void noSocketHoldsSmallWritesBack() {
+    void socketsDisableNaglesAlgorithm() {
         final NioSocketChannel channel = new NioSocketChannel();
         assertTrue(channel.config().isTcpNoDelay());
         channel.unsafe().closeForcibly();
     }
 
     @Test
-    void aRequestThatComesBehindOurEndIsNotTakenOn() throws IOException, InterruptedException {
+    void requestSentAfterTheCourierClosedItsConnectionIsNotAccepted() throws IOException, InterruptedException {
         fixture.start();
         final Process ending;
-        try (Socket resting = fixture.connect()) {
+        try (Socket idle = fixture.connect()) {
             assertEquals(
                     202,
-                    CourierProcessFixture.send(resting, CourierProcessFixture.message("m1", "safe"))
+                    CourierProcessFixture.send(idle, CourierProcessFixture.message("m1", "safe"))
                             .status());
             ending = fixture.terminate();
-            assertEquals(-1, resting.getInputStream().read(), "the resting client is sent away");
-            write(resting, CourierProcessFixture.message("crossed", "safe"));
-            assertEquals(-1, resting.getInputStream().read());
+            assertEquals(-1, idle.getInputStream().read(), "the idle connection is closed");
+            write(idle, CourierProcessFixture.message("crossed", "safe"));
+            assertEquals(-1, idle.getInputStream().read());
         }
-        assertEquals(
-                202, fixture.submit("again", "safe").status(), "the client sends it once more on a new connection");
+        assertEquals(202, fixture.submit("again", "safe").status(), "the client retries on a new connection");
         assertTrue(ending.waitFor(CourierProcessFixture.TIMEOUT_S, TimeUnit.SECONDS));
         fixture.start();
-        fixture.await("the repeat", () -> fixture.first.ids().contains("again"));
+        fixture.await("the retried message", () -> fixture.first.ids().contains("again"));
         assertFalse(fixture.first.ids().contains("crossed"));
     }
 
     @Test
-    void aRequestThatLiesInTheKernelAtSigtermIsAnswered() throws IOException, InterruptedException {
+    void requestInTheKernelBufferAtSigtermIsAnswered() throws IOException, InterruptedException {
         fixture.start();
-        try (Socket resting = fixture.connect()) {
+        try (Socket idle = fixture.connect()) {
             assertEquals(
                     202,
-                    CourierProcessFixture.send(resting, CourierProcessFixture.message("m1", "safe"))
+                    CourierProcessFixture.send(idle, CourierProcessFixture.message("m1", "safe"))
                             .status());
             fixture.signal("STOP");
-            write(resting, CourierProcessFixture.message("m2", "safe"));
+            write(idle, CourierProcessFixture.message("m2", "safe"));
             fixture.signal("TERM");
             fixture.signal("CONT");
-            assertEquals(
-                    202, CourierProcessFixture.read(resting.getInputStream()).status());
+            assertEquals(202, CourierProcessFixture.read(idle.getInputStream()).status());
         }
-        fixture.await("its delivery", () -> fixture.first.ids().contains("m2"));
+        fixture.await("the delivery", () -> fixture.first.ids().contains("m2"));
     }
 
     @Test
-    void connectionsInTheQueueOfTheListeningSocketAreServedBeforeItIsClosed() throws IOException, InterruptedException {
+    void connectionsInTheAcceptQueueAreServedBeforeTheListenerCloses() throws IOException, InterruptedException {
         fixture.start();
         terminate();
         fixture.signal("STOP");
-        final long fromNs = System.nanoTime();
-        final int crowd = 50;
+        final long startNs = System.nanoTime();
+        final int connections = 50;
         final List<Socket> sockets = new ArrayList<>();
-        for (int count = 0; count < crowd; count++) {
+        for (int count = 0; count < connections; count++) {
             final Socket socket = fixture.connect();
             write(
                     socket,
@@ -200,8 +203,8 @@
                             .replace("dest=7", "dest=" + (count % 5 == 0 ? 7 : 8)));
             sockets.add(socket);
         }
-        // The end of listening falls due while the process has no core.
-        while (System.nanoTime() - fromNs < TimeUnit.MILLISECONDS.toNanos(LISTENS_MS)) {
+        // The time to stop listening passes while the process is suspended.
+        while (System.nanoTime() - startNs < TimeUnit.MILLISECONDS.toNanos(AFTER_LISTENING_MS)) {
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
         }
         fixture.signal("CONT");
@@ -214,7 +217,7 @@
     }
 
     @Test
-    void garbageBehindARequestIsRefusedAfterThatRequestHasItsAnswer() throws IOException {
+    void garbageAfterARequestIsRejectedAfterTheResponseToThatRequest() throws IOException {
         fixture.start();
         try (Socket socket = fixture.connect()) {
             write(socket, CourierProcessFixture.message("m1", "safe") + "what is this\r\n\r\n");
@@ -228,17 +231,17 @@
     }
 
     @Test
-    void halfARequestThatCameInOneReadWithAWholeOneIsGivenUpInItsTime() throws IOException {
+    void incompleteRequestReadTogetherWithAWholeOneTimesOut() throws IOException {
         fixture.start();
         try (Socket socket = fixture.connect()) {
             write(socket, CourierProcessFixture.message("m1", "safe") + "POST /safe HTTP/1.1\r\nHo");
             assertEquals(
                     202, CourierProcessFixture.read(socket.getInputStream()).status());
-            final long fromNs = System.nanoTime();
+            final long startNs = System.nanoTime();
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(6));
             assertEquals(
                     408, CourierProcessFixture.read(socket.getInputStream()).status());
-            assertTrue(System.nanoTime() - fromNs < TimeUnit.SECONDS.toNanos(6));
+            assertTrue(System.nanoTime() - startNs < TimeUnit.SECONDS.toNanos(6));
         }
     }
 }
--- a/src/test/java/railspar/node/StartCrossingsTest.java
+++ b/src/test/java/railspar/node/StartCrossingsTest.java
@@ -13,23 +13,23 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A start with much to take up: what is due at once, what was never tried, and a discovery that is silent. */
+/** A start with many stored messages, some of them expired and some never sent, while the discovery agent is silent. */
 final class StartCrossingsTest extends AbstractCourierProcessTest {
-    private static final long READY_MS = 10_000;
+    private static final long MAX_START_MS = 10_000;
     private static final long DISK_BYTES = 3_000_000;
-    private static final int EACH = 300;
+    private static final int MESSAGES_PER_GROUP = 300;
 
     @BeforeEach
     void configure() {
-        fixture.maxOpen = 2 * EACH;
+        fixture.maxOpen = 2 * MESSAGES_PER_GROUP;
         fixture.discovery = "pushed";
     }
 
-    /** Leaves messages as a process that was killed would: taken on, and never sent. */
-    private void hold(final String prefix, final long leftMs) throws IOException {
+    /** Stores messages as a killed process leaves them: accepted, and never sent. */
+    private void storeAccepted(final String prefix, final long remainingMs) throws IOException {
         try (Journal journal = Journal.open(folder.resolve("state"), DISK_BYTES)) {
-            final long validUntilUs = (System.currentTimeMillis() + leftMs) * 1000;
-            for (int count = 0; count < EACH; count++) {
+            final long validUntilUs = (System.currentTimeMillis() + remainingMs) * 1000;
+            for (int count = 0; count < MESSAGES_PER_GROUP; count++) {
                 assertTrue(JournalTest.takes(
                         journal,
                         new AcceptedMessage(prefix + count, "safe", null, null, 7, validUntilUs, new byte[800])));
@@ -37,31 +37,34 @@
         }
     }
 
-    private static Set<String> all(final String prefix) {
-        return IntStream.range(0, EACH).mapToObj(count -> prefix + count).collect(Collectors.toSet());
+    private static Set<String> ids(final String prefix) {
+        return IntStream.range(0, MESSAGES_PER_GROUP)
+                .mapToObj(count -> prefix + count)
+                .collect(Collectors.toSet());
     }
 
-    private Set<String> called() {
+    private Set<String> calledIds() {
         return new HashSet<>(fixture.first.ids());
     }
 
     @Test
-    void aFullJournalAndASilentDiscoveryDoNotKeepItFromItsClients() throws IOException {
+    void startsServingClientsInTimeWithAFullJournalAndSilentDiscovery() throws IOException {
         fixture.firstWatchLine = "";
-        hold("late", -1000);
-        hold("held", 15_000);
-        final long fromNs = System.nanoTime();
+        storeAccepted("late", -1000);
+        storeAccepted("held", 15_000);
+        final long startNs = System.nanoTime();
         fixture.start();
-        final long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - fromNs);
-        assertTrue(tookMs < READY_MS, "ready after " + tookMs + " ms");
+        final long elapsedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs);
+        assertTrue(elapsedMs < MAX_START_MS, "ready after " + elapsedMs + " ms");
         assertEquals(202, fixture.submit("new", "safe").status());
         fixture.await(
-                "an end for each whose time is up",
-                () -> all("late").stream().allMatch(id -> fixture.hasNotice(id, "deferred")));
-        fixture.await("a call for each that was never tried", () -> called().containsAll(all("held")));
-        final Set<String> again = new HashSet<>(called());
-        again.retainAll(all("late"));
-        assertEquals(Set.of(), again, "what is over is not sent");
+                "a notice for each expired message",
+                () -> ids("late").stream().allMatch(id -> fixture.hasNotice(id, "deferred")));
+        fixture.await(
+                "a call for each message that was never sent", () -> calledIds().containsAll(ids("held")));
+        final Set<String> resent = new HashSet<>(calledIds());
+        resent.retainAll(ids("late"));
+        assertEquals(Set.of(), resent, "expired messages are not sent");
         assertEquals(
                 List.of(),
                 fixture.notices.stream().filter(line -> line.contains("\"held")).toList());
