--- a/src/main/java/railspar/node/AcceptedMessage.java
+++ b/src/main/java/railspar/node/AcceptedMessage.java
@@ -3,8 +3,9 @@
 import railspar.Courier;
 
 /**
- * An accepted message as the journal keeps it (times in microseconds of persistent time): what its client handed in,
- * and its attempts so far. Once it has ended by a notice, only the answer to the notice is still awaited.
+ * An accepted message as the journal stores it: what the client submitted, and the attempts so far. Times are in
+ * microseconds of persistent time. Once a notice is set, the message has ended and only the platform's confirmation
+ * of the notice is pending.
  */
 final class AcceptedMessage {
     static final long NEVER = Long.MAX_VALUE;
@@ -12,7 +13,7 @@
     final String id;
     final String className;
     final String idempotencyKey;
-    /** Messages of one such key go one at a time, in the order taken; null where the class keeps no order. */
+    /** Messages with the same key are delivered one at a time in order of acceptance; null without ordering. */
     final String orderKey;
 
     final long destination;
@@ -21,7 +22,7 @@
     private int attempts;
     private long firstEffectPersistentUs = NEVER;
     private String effectZone = "";
-    /** When the attempt in flight was begun; never, while none is. */
+    /** When the attempt in flight started; {@link #NEVER} if none is. */
     private long attemptStartPersistentUs = NEVER;
 
     private String attemptZone = "";
@@ -53,23 +54,23 @@
         attemptZone = zone;
     }
 
-    /** The attempt in flight has its outcome. */
-    void endAttempt(final boolean neverRan) {
-        if (!neverRan && attemptStartPersistentUs != NEVER) {
+    /** Ends the attempt in flight; {@code hadNoEffect} if it certainly had no effect at the endpoint. */
+    void endAttempt(final boolean hadNoEffect) {
+        if (!hadNoEffect && attemptStartPersistentUs != NEVER) {
             firstEffectPersistentUs = Math.min(firstEffectPersistentUs, attemptStartPersistentUs);
             effectZone = attemptZone;
         }
         attemptStartPersistentUs = NEVER;
     }
 
-    void restoreAttempts(final int attemptsUsed, final long firstRun, final String zone) {
-        attempts = attemptsUsed;
-        firstEffectPersistentUs = firstRun;
+    void restoreAttempts(final int attemptCount, final long storedFirstEffectUs, final String zone) {
+        attempts = attemptCount;
+        firstEffectPersistentUs = storedFirstEffectUs;
         effectZone = zone;
     }
 
-    void setNotice(final Notice owed) {
-        notice = owed;
+    void setNotice(final Notice pendingNotice) {
+        notice = pendingNotice;
     }
 
     Notice notice() {
@@ -100,39 +101,43 @@
         return attemptZone;
     }
 
-    /** As {@link #historyAfterInterruption}, where the call in flight continues in a process that still runs. */
+    /** As {@link #historyAfterInterruption}, but the call in flight continues in a predecessor that still runs. */
     Courier.AttemptHistory historyWithInheritedCall(final Clock clock, final long endpoint) {
-        final Courier.AttemptHistory settled = historyBeforeCurrentAttempt(clock);
+        final Courier.AttemptHistory previous = historyBeforeCurrentAttempt(clock);
         return new Courier.AttemptHistory(
-                settled.attempts(),
-                settled.mayHaveTakenEffect(),
-                settled.firstEffectUs(),
-                settled.effectZone(),
+                previous.attempts(),
+                previous.mayHaveTakenEffect(),
+                previous.firstEffectUs(),
+                previous.effectZone(),
                 new Courier.InheritedCall(endpoint, clock.fromPersistentUs(attemptStartPersistentUs)));
     }
 
-    /** True if an attempt may have had its effect, or is in flight. */
+    /** True if an attempt may have taken effect, or is in flight. */
     boolean mayHaveTakenEffect() {
         return firstEffectPersistentUs != NEVER || hasAttemptInFlight();
     }
 
-    /** The attempts before the one in flight. */
+    /** The effects of the attempts before the one in flight; the count includes that one. */
     Courier.AttemptHistory historyBeforeCurrentAttempt(final Clock clock) {
-        final boolean ran = firstEffectPersistentUs != NEVER;
+        final boolean mayHaveHadEffect = firstEffectPersistentUs != NEVER;
         return new Courier.AttemptHistory(
-                attempts, ran, ran ? clock.fromPersistentUs(firstEffectPersistentUs) : 0, effectZone);
+                attempts,
+                mayHaveHadEffect,
+                mayHaveHadEffect ? clock.fromPersistentUs(firstEffectPersistentUs) : 0,
+                effectZone);
     }
 
     /**
-     * What a process that did not see the attempts may rely on. A call that was in flight may have had its effect.
+     * The history for a process that did not make the attempts itself. A call that was in flight may have taken
+     * effect.
      */
     Courier.AttemptHistory historyAfterInterruption(final Clock clock) {
-        final long firstPersistentUs = Math.min(firstEffectPersistentUs, attemptStartPersistentUs);
-        final boolean ran = firstPersistentUs != NEVER;
+        final long earliestEffectPersistentUs = Math.min(firstEffectPersistentUs, attemptStartPersistentUs);
+        final boolean mayHaveHadEffect = earliestEffectPersistentUs != NEVER;
         return new Courier.AttemptHistory(
                 attempts,
-                ran,
-                ran ? clock.fromPersistentUs(firstPersistentUs) : 0,
+                mayHaveHadEffect,
+                mayHaveHadEffect ? clock.fromPersistentUs(earliestEffectPersistentUs) : 0,
                 hasAttemptInFlight() ? attemptZone : effectZone);
     }
 }
--- a/src/main/java/railspar/node/ClientServer.java
+++ b/src/main/java/railspar/node/ClientServer.java
@@ -45,113 +45,133 @@
 import railspar.Courier;
 
 /**
- * Where clients hand messages in. A message that is taken is answered in the pass that read it; whatever cannot be
- * read or used is answered with its 4xx, and nothing is taken. No request is left without an answer.
+ * The HTTP server to which clients submit messages. An accepted message is answered in the event-loop pass that read
+ * it. A request that cannot be parsed or used gets a 4xx response and is not accepted. Every request gets a response.
  */
 final class ClientServer {
     static final int TOO_MANY_REQUESTS = 429;
     static final int SERVICE_UNAVAILABLE = 503;
     private static final int ACCEPTED = 202;
     private static final int FAILED = 500;
-    private static final int MOST_BODY_BYTES = 1 << 16;
-    private static final int MOST_ID_CHARS = 128;
-    /** A class or a key as a part of a path. */
-    private static final Pattern KEY = Pattern.compile("[A-Za-z0-9._~-]{1,128}");
+    private static final int MAX_BODY_BYTES = 1 << 16;
+    private static final int MAX_ID_CHARS = 128;
+    /** The path segment that names a message class or an ordering key. */
+    private static final Pattern PATH_SEGMENT = Pattern.compile("[A-Za-z0-9._~-]{1,128}");
 
-    private static final int MOST_QUEUED = 16;
-    private static final int BACKLOG = 1024;
+    private static final int MAX_QUEUED_REQUESTS = 16;
+    private static final int ACCEPT_BACKLOG = 1024;
     private static final long US_PER_MS = 1000;
     private static final double US_PER_SECOND = 1_000_000;
     /**
-     * How long a request may take to come in whole, the first one from the connection's start on, since a peer that
-     * sends nothing is owed an end too, within 3 s; and how long what is left of a refused one is read away.
+     * How long a request may take to arrive completely. For the first request the time runs from the start of the
+     * connection, so that a peer that sends nothing is disconnected too, within 3 s.
      */
-    private static final long REQUEST_US = 2_200_000;
+    private static final long REQUEST_TIMEOUT_US = 2_200_000;
 
+    /** How long further input is read and discarded after the last response, before the connection is closed. */
     private static final long LINGER_MS = 500;
-    private static final long SWEEP_MS = 200;
-    private static final long SPENT_RETRY_US = 500_000;
+
+    private static final long SWEEP_INTERVAL_MS = 200;
+    private static final long EXPIRED_RETRY_AFTER_US = 500_000;
+    /** The retry-after for a destination that no list has named: a list is at most some seconds late. */
+    private static final long UNKNOWN_DESTINATION_RETRY_AFTER_US = 2_000_000;
     /**
-     * When a message for a destination that no list has named may come again: a list is some seconds late at most.
+     * How long a connection must be idle before it is closed during a drain. After a drain is requested, new
+     * connections still arrive for about 0.3 s, and after 4 s no idle connection may be left. After this idle time a
+     * request rarely crosses the close.
      */
-    private static final long UNKNOWN_RETRY_US = 2_000_000;
+    private static final long DRAIN_IDLE_TIMEOUT_US = 1_000_000;
     /**
-     * After the call for a drain new connections still come for some 0.3 s, and 4 s after it no connection may be
-     * held idle: idle ones are closed once they have been so for this long, when a request hardly crosses the close.
+     * When another process takes over, most clients send a further request within this time, and its response closes
+     * their connection.
      */
-    private static final long LEAVE_IDLE_US = 1_000_000;
-    /** Where another process takes over, most clients ask again within this, and an answer ends their connection. */
-    private static final long LEAVE_GRACE_US = 1_000_000;
+    private static final long HANDOVER_GRACE_US = 1_000_000;
 
     private static final long NEVER = Long.MAX_VALUE;
-    /** What each message says once; one that says it twice could be meant either way. */
-    private static final List<String> OWN_HEADERS =
+    /** Headers that each message must have exactly once: with two values its meaning would be ambiguous. */
+    private static final List<String> REQUIRED_HEADERS =
             List.of("Host", "X-Request-ID", "X-Priority-Class", "X-Timeout-Ms", "X-Consignee");
-    /** Share of the descriptors for clients, who need a third for their requests. */
-    private static final double SOCKET_SHARE = 0.45;
-    /** One that spoke, or came, since then is not shed: its request may lie unread in the kernel. */
-    private static final long SPARED_US = 200_000;
-    /** How long accepting rests when there is no room. */
-    private static final long REST_MS = 20;
-    /** Share of the connections that there was room for, once descriptors have run out, and for how long it binds. */
-    private static final double SHORT_SHARE = 0.75;
-
-    private static final double LEAST_SHARE = 0.05;
-    private static final long SHORT_US = 10_000_000;
-    /** Before the listening socket is closed, what lies in its queue is let in: so often it is looked at, at most. */
-    private static final int MOST_LAST_LOOKS = 10;
+    /** Share of the descriptors for client connections. Clients need a third of them for their requests. */
+    private static final double CLIENT_SOCKET_SHARE = 0.45;
+    /**
+     * A connection that was opened or active within this time is not shed: its request may still be unread in the
+     * kernel.
+     */
+    private static final long MIN_SILENCE_US = 200_000;
+    /**
+     * How long accepting pauses when the connection limit is reached. Also the delay before idle connections are
+     * closed at a shutdown, and the interval of the checks of the accept queue.
+     */
+    private static final long ACCEPT_PAUSE_MS = 20;
+    /**
+     * When descriptors run out, the connection limit falls to this share of the open connections, but not below
+     * {@link #MIN_CONNECTION_SHARE} of the maximum, for {@link #SHORTAGE_DURATION_US}.
+     */
+    private static final double SHORTAGE_SHARE = 0.75;
+
+    private static final double MIN_CONNECTION_SHARE = 0.05;
+    private static final long SHORTAGE_DURATION_US = 10_000_000;
+    /** How often at most the accept queue is checked for waiting connections before the listening socket is closed. */
+    private static final int MAX_ACCEPT_QUEUE_CHECKS = 10;
 
     private final Config config;
     private final Clock clock;
-    private final MessageService host;
-    private final int mostConnections;
-    /** Less than that while descriptors have run out below it. */
-    private int roomFor;
+    private final MessageService service;
+    private final int maxConnections;
+    /** The current limit: below {@link #maxConnections} after descriptors have run out with fewer connections. */
+    private int connectionLimit;
 
-    private long shortUntilUs;
-    /** Connections accepted so far. */
-    private long accepted;
+    private long shortageUntilUs;
+    private long acceptedConnections;
 
     private final Set<Session> sessions = new HashSet<>();
     private Channel listener;
-    /** This process ends: answers end their connections. */
-    private boolean draining;
+    /** This process is shutting down: each response closes its connection. */
+    private boolean shuttingDown;
 
     private boolean accepting = true;
-    private boolean resting;
-    /** The listening socket is the platform's, and other processes accept from it too. */
-    private boolean shared;
+    private boolean acceptPaused;
+    /** The listening socket belongs to the platform, and other processes accept from it too. */
+    private boolean sharedListener;
     /** Another process has taken over. */
-    private boolean leaving;
-    /** Operators have called for a drain, at that time; never, while they have not. */
-    private long leftUs = NEVER;
+    private boolean handedOver;
+    /**
+     * From when on clients are sent elsewhere: when operators requested a drain, or a grace time after a handover.
+     * {@link #NEVER} otherwise.
+     */
+    private long drainedFromUs = NEVER;
 
-    ClientServer(final Config config, final Clock clock, final MessageService host) {
+    ClientServer(final Config config, final Clock clock, final MessageService service) {
         this.config = config;
         this.clock = clock;
-        this.host = host;
-        this.mostConnections = (int) Math.max(1, SOCKET_SHARE * config.sockets());
-        this.roomFor = mostConnections;
+        this.service = service;
+        this.maxConnections = (int) Math.max(1, CLIENT_SOCKET_SHARE * config.sockets());
+        this.connectionLimit = maxConnections;
     }
 
-    /** Ends connections in time from now on. */
+    /** Starts the periodic check that ends connections whose request timed out or that are idle during a drain. */
     void startSweeping(final EventLoop loop) {
         loop.scheduleWithFixedDelay(
-                () -> host.afterSocketReads(this::sweep), SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+                () -> service.afterSocketReads(this::sweep),
+                SWEEP_INTERVAL_MS,
+                SWEEP_INTERVAL_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Listens on the one address of the configuration, or at the socket that the platform holds there, if it does;
+     * Listens on the address of the configuration, or on the listening socket that the platform passed, if any.
      * {@code /up} is answered from then on.
      */
-    ChannelFuture listen(final EventLoopGroup group, final ServerSocketChannel held) {
-        shared = held != null;
+    ChannelFuture listen(final EventLoopGroup group, final ServerSocketChannel passedSocket) {
+        sharedListener = passedSocket != null;
         final ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(group)
-                .channelFactory(() -> shared ? new TrackedServerSocketChannel(held) : new TrackedServerSocketChannel())
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .channelFactory(() -> sharedListener
+                        ? new TrackedServerSocketChannel(passedSocket)
+                        : new TrackedServerSocketChannel())
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
-                .handler(new Door())
+                .handler(new AcceptFailureHandler())
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(final Channel channel) {
@@ -159,72 +179,79 @@
                         final Session session = new Session(decoder);
                         channel.pipeline()
                                 .addLast(
-                                        new Arrivals(session),
+                                        new FirstBytesHandler(session),
                                         decoder,
                                         new HttpResponseEncoder(),
                                         new HttpServerExpectContinueHandler(),
                                         session);
                     }
                 });
-        final ChannelFuture bound = shared ? bootstrap.register() : bootstrap.bind(config.listen());
+        final ChannelFuture bound = sharedListener ? bootstrap.register() : bootstrap.bind(config.listen());
         listener = bound.channel();
         return bound;
     }
 
-    /** Where it listens in fact. */
+    /** The address and port that the server is bound to. */
     String address() {
         return listener.localAddress().toString().replaceFirst(".*/", "");
     }
 
     /**
-     * From now on answers end their connections, and those on which nothing is asked are closed; a moment later, so
-     * that requests that had come by now are read and answered.
+     * From now on each response closes its connection. Idle connections are closed after a short delay, so that
+     * requests that have already arrived are read and answered.
      */
     void drain() {
-        draining = true;
+        shuttingDown = true;
         listener.eventLoop()
-                .schedule(() -> List.copyOf(sessions).forEach(Session::closeIfIdle), REST_MS, TimeUnit.MILLISECONDS);
+                .schedule(
+                        () -> List.copyOf(sessions).forEach(Session::closeIfIdle),
+                        ACCEPT_PAUSE_MS,
+                        TimeUnit.MILLISECONDS);
     }
 
-    /** By hand: takes no more clients, but goes on serving what is held and what still comes. Or takes them again. */
-    void setDrained(final boolean away) {
-        if (!leaving && away != isLeft()) {
-            leftUs = away ? clock.nowUs() : NEVER;
-            Log.info(away ? "drain: told to take no more clients" : "drain: over, takes clients again");
+    /**
+     * Starts or ends an operator's drain. While drained, {@code /up} returns 503 and clients are sent elsewhere, but
+     * open messages and requests that still arrive are served.
+     */
+    void setDrained(final boolean drained) {
+        if (!handedOver && drained != isDrained()) {
+            drainedFromUs = drained ? clock.nowUs() : NEVER;
+            Log.info(drained ? "drain: told to take no more clients" : "drain: over, takes clients again");
         }
     }
 
-    private boolean isLeft() {
-        return leftUs != NEVER;
+    private boolean isDrained() {
+        return drainedFromUs != NEVER;
     }
 
     /**
-     * Accepts no further connection; those that stand are still served. Closing the socket resets what lies in its
-     * queue, where connections wait if this process had no core: they are let in first.
+     * Stops accepting connections; open ones are still served. Closing the listening socket resets the connections
+     * in its accept queue, where they wait if this process got no CPU time. They are therefore accepted first.
      */
     void stopListening() {
-        stopListening(-1, MOST_LAST_LOOKS);
+        stopListening(-1, MAX_ACCEPT_QUEUE_CHECKS);
     }
 
-    private void stopListening(final long acceptedBefore, final int looksLeft) {
-        if (accepted != acceptedBefore && looksLeft > 0) {
-            final long before = accepted;
-            listener.eventLoop().schedule(() -> stopListening(before, looksLeft - 1), REST_MS, TimeUnit.MILLISECONDS);
+    private void stopListening(final long acceptedBefore, final int checksLeft) {
+        if (acceptedConnections != acceptedBefore && checksLeft > 0) {
+            final long before = acceptedConnections;
+            listener.eventLoop()
+                    .schedule(() -> stopListening(before, checksLeft - 1), ACCEPT_PAUSE_MS, TimeUnit.MILLISECONDS);
         } else {
             stopAccepting();
             List.copyOf(sessions).forEach(Session::closeIfIdle);
         }
     }
 
-    /** The process ends soon: a request that is not whole by now is refused, so that none is cut off unanswered. */
+    /** Called shortly before the process exits: rejects incomplete requests, so that none is left unanswered. */
     void rejectIncompleteRequests() {
-        List.copyOf(sessions).forEach(Session::finish);
+        List.copyOf(sessions).forEach(Session::rejectIncompleteOrClose);
     }
 
-    /** A socket that others hold too is left open, and not read from. */
+    /** Stops accepting at once. A listening socket shared with other processes stays open, but is not read. */
     void stopAccepting() {
         accepting = false;
-        if (shared) {
+        if (sharedListener) {
             listener.config().setAutoRead(false);
         } else {
             listener.close();
@@ -232,131 +259,142 @@
     }
 
     /**
-     * Another process takes over. Clients that keep a connection here are served, and sent there; where both hold the
-     * socket, new ones are let in here too until the other one is seen to accept.
+     * Another process takes over. Clients with a connection to this process are served, and their connections are
+     * closed so that they go to the other one. If both processes share the listening socket, this one also accepts
+     * new connections until the other is seen to accept.
      */
     void handOver() {
-        leaving = true;
-        leftUs = clock.nowUs() + LEAVE_GRACE_US;
-        if (!shared) {
+        handedOver = true;
+        drainedFromUs = clock.nowUs() + HANDOVER_GRACE_US;
+        if (!sharedListener) {
             stopAccepting();
         }
     }
 
     /**
-     * True when nobody is cut off by the end of this process: each client has its answer, and has been sent
-     * elsewhere.
+     * True when this process can exit without cutting off a client: all responses are sent and all connections are
+     * closed.
      */
     boolean isDone() {
         return !accepting && sessions.isEmpty();
     }
 
-    /** Descriptors have run out, though clients hold no more than their share: silent ones give some back. */
+    /**
+     * Called when descriptors have run out although clients use no more than their share: lowers the connection limit
+     * and closes silent connections.
+     */
     void relieveDescriptorShortage() {
-        final double least = LEAST_SHARE * mostConnections;
-        roomFor = (int) Math.max(1, Math.min(roomFor, Math.max(least, SHORT_SHARE * sessions.size())));
-        shortUntilUs = clock.nowUs() + SHORT_US;
-        makeRoom();
+        final double minimum = MIN_CONNECTION_SHARE * maxConnections;
+        connectionLimit =
+                (int) Math.max(1, Math.min(connectionLimit, Math.max(minimum, SHORTAGE_SHARE * sessions.size())));
+        shortageUntilUs = clock.nowUs() + SHORTAGE_DURATION_US;
+        shedSilentConnections();
     }
 
     private void sweep() {
-        final long beforeUs = clock.nowUs() - REQUEST_US;
-        if (clock.nowUs() >= shortUntilUs) {
-            roomFor = mostConnections;
+        final long beforeUs = clock.nowUs() - REQUEST_TIMEOUT_US;
+        if (clock.nowUs() >= shortageUntilUs) {
+            connectionLimit = maxConnections;
         }
         for (final Session session : List.copyOf(sessions)) {
-            if (session.dueSinceUs <= beforeUs) {
-                session.giveUp();
-            } else if (isLeft() && Math.max(leftUs, session.sinceUs) <= clock.nowUs() - LEAVE_IDLE_US) {
+            if (session.timeoutStartUs <= beforeUs) {
+                session.timeOut();
+            } else if (isDrained()
+                    && Math.max(drainedFromUs, session.lastRequestUs) <= clock.nowUs() - DRAIN_IDLE_TIMEOUT_US) {
                 session.closeIfIdle();
             }
         }
     }
 
-    /** Too many connections: those that have been silent for longest make room, or else nobody is let in for now. */
-    private void makeRoom() {
-        while (sessions.size() >= roomFor) {
-            final long beforeUs = clock.nowUs() - SPARED_US;
-            final Session silent = sessions.stream()
-                    .filter(session -> session.isOfNoUse(beforeUs))
+    /**
+     * Closes the connections that have been silent for longest while the connection limit is reached. If none can be
+     * closed, accepting pauses.
+     */
+    private void shedSilentConnections() {
+        while (sessions.size() >= connectionLimit) {
+            final long beforeUs = clock.nowUs() - MIN_SILENCE_US;
+            final Session longestSilent = sessions.stream()
+                    .filter(session -> session.isSilentSince(beforeUs))
                     .min(Comparator.comparing((Session session) -> !session.closing)
-                            .thenComparingLong(session -> session.heardUs))
+                            .thenComparingLong(session -> session.lastActivityUs))
                     .orElse(null);
-            if (silent == null) {
-                rest();
+            if (longestSilent == null) {
+                pauseAccepting();
                 return;
             }
-            host.connectionShed();
-            sessions.remove(silent);
-            silent.context.close();
+            service.connectionShed();
+            sessions.remove(longestSilent);
+            longestSilent.context.close();
         }
     }
 
-    /** Accepts nobody for a moment; the kernel keeps who comes. */
-    private void rest() {
-        if (!resting && listener != null && accepting) {
-            resting = true;
+    /** Pauses accepting for a moment; the kernel queues new connections meanwhile. */
+    private void pauseAccepting() {
+        if (!acceptPaused && listener != null && accepting) {
+            acceptPaused = true;
             listener.config().setAutoRead(false);
             listener.eventLoop()
                     .schedule(
                             () -> {
-                                resting = false;
+                                acceptPaused = false;
                                 if (accepting) {
                                     listener.config().setAutoRead(true);
-                                    makeRoom();
+                                    shedSilentConnections();
                                 }
                             },
-                            REST_MS,
+                            ACCEPT_PAUSE_MS,
                             TimeUnit.MILLISECONDS);
         }
     }
 
     /**
-     * Sees to it that a failed accept costs a pause, not the process: left alone, Netty logs it in a way that can
-     * fail.
+     * Handles a failed accept with a pause of accepting. Without this handler, Netty would log the failure in a way
+     * that can fail itself and end the process.
      */
-    private final class Door extends ChannelInboundHandlerAdapter {
+    private final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void exceptionCaught(final ChannelHandlerContext ctx, final Throwable cause) {
             FatalError.exitOn("connection of a client", cause);
-            if (!resting) {
+            if (!acceptPaused) {
                 Log.info("cannot accept with " + sessions.size() + " clients connected: " + cause);
             }
             relieveDescriptorShortage();
-            rest();
+            pauseAccepting();
         }
     }
 
-    /** Refuses a request with two lengths, which could be read as another one by whoever comes next. */
+    /**
+     * Rejects a request with both Content-Length and chunked encoding, which another server could parse differently.
+     */
     private static final class StrictDecoder extends HttpRequestDecoder {
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(final HttpMessage message) {
-            throw new IllegalArgumentException("both a length and chunks");
+            throw new IllegalArgumentException("request has both Content-Length and chunked Transfer-Encoding");
         }
 
-        /** Bytes have come that are no whole line or body yet. */
-        boolean hasRest() {
+        /** True if bytes of an incomplete line or body are buffered. */
+        boolean hasPartialRequest() {
             return actualReadableBytes() > 0;
         }
     }
 
-    /** Sees the first bytes of a request, long before the decoder has a whole head to tell of. */
-    private static final class Arrivals extends ChannelInboundHandlerAdapter {
+    /** Reports the first bytes of a request, before the decoder has a complete request head. */
+    private static final class FirstBytesHandler extends ChannelInboundHandlerAdapter {
         private final Session session;
 
-        Arrivals(final Session session) {
+        FirstBytesHandler(final Session session) {
             this.session = session;
         }
 
         @Override
         public void channelRead(final ChannelHandlerContext ctx, final Object bytes) {
-            session.arrived();
+            session.bytesArrived();
             ctx.fireChannelRead(bytes);
         }
     }
 
-    /** A whole request that waits for its turn on its connection. */
-    private record Request(HttpRequest head, byte[] body, long begunUs) {}
+    /** A complete request, queued until the earlier ones of its connection are answered. */
+    private record Request(HttpRequest head, byte[] body, long firstBytesUs) {}
 
     /** One client's connection. */
     private final class Session extends SimpleChannelInboundHandler<HttpObject> {
@@ -368,54 +406,61 @@
         private Request current;
         private String currentId;
         private boolean reading;
-        /** What comes behind is no request, and is refused so once those ahead of it have their answers; or null. */
-        private HttpResponseStatus fault;
-        /** All answers are written: what still comes is read away, and nothing further is served. */
+        /** The error response to send after the queued requests are answered; null while the input is valid. */
+        private HttpResponseStatus errorStatus;
+        /** All responses are written: further input is read and discarded. */
         private boolean closing;
 
-        private long sinceUs = clock.nowUs();
-        /** When it last sent something, or was answered. */
-        private long heardUs = sinceUs;
-        /** Since when a request is due whole: from the start, and from the first bytes of each further one. */
-        private long dueSinceUs = clock.nowUs();
+        /** When the connection was opened, or its latest request head arrived or was dequeued. */
+        private long lastRequestUs = clock.nowUs();
+        /** When the client last sent bytes or got a response. */
+        private long lastActivityUs = lastRequestUs;
+        /** Start of the request timeout: the start of the connection, then the first bytes of each further request. */
+        private long timeoutStartUs = clock.nowUs();
 
-        /** Some bytes of a request that is not whole yet have come. */
-        private boolean begun;
-        /** When its first bytes came: its time runs from when its client sent it, however slowly it is written. */
-        private long begunUs;
+        /** Some bytes of an incomplete request have arrived. */
+        private boolean requestStarted;
+        /**
+         * When the first bytes of the request arrived. The message's time runs from when its client sent it, however
+         * slowly the request is written.
+         */
+        private long firstBytesUs;
 
         Session(final StrictDecoder decoder) {
             this.decoder = decoder;
         }
 
-        private void arrived() {
-            heardUs = clock.nowUs();
-            begunUs = begun ? begunUs : heardUs;
-            begun = true;
-            dueSinceUs = dueSinceUs == NEVER ? clock.nowUs() : dueSinceUs;
+        private void bytesArrived() {
+            lastActivityUs = clock.nowUs();
+            firstBytesUs = requestStarted ? firstBytesUs : lastActivityUs;
+            requestStarted = true;
+            timeoutStartUs = timeoutStartUs == NEVER ? clock.nowUs() : timeoutStartUs;
         }
 
-        /** Where nothing is asked nothing is answered: a late answer would be taken for the next request's. */
-        private void giveUp() {
-            if (!begun) {
-                part();
+        /**
+         * Handles the request timeout. Without a request no response is sent: the client would take it for the
+         * response to its next request.
+         */
+        private void timeOut() {
+            if (!requestStarted) {
+                closeGracefully();
             } else {
                 reject(HttpResponseStatus.REQUEST_TIMEOUT);
             }
         }
 
-        /** The process ends soon. */
-        private void finish() {
-            if (isIdle() && !begun) {
-                part();
-            } else if (!closing && (begun || reading)) {
+        /** Closes the connection if it is idle, or rejects its incomplete request, as the process exits soon. */
+        private void rejectIncompleteOrClose() {
+            if (isIdle() && !requestStarted) {
+                closeGracefully();
+            } else if (!closing && (requestStarted || reading)) {
                 reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
             }
         }
 
-        /** It has no request that is whole, and has been silent since then. */
-        private boolean isOfNoUse(final long beforeUs) {
-            return context != null && current == null && queue.isEmpty() && heardUs <= beforeUs;
+        /** True if the connection has no complete request and has been silent since that time. */
+        private boolean isSilentSince(final long beforeUs) {
+            return context != null && current == null && queue.isEmpty() && lastActivityUs <= beforeUs;
         }
 
         private boolean isIdle() {
@@ -423,20 +468,20 @@
         }
 
         private void closeIfIdle() {
-            if (isIdle() && !begun) {
-                part();
+            if (isIdle() && !requestStarted) {
+                closeGracefully();
             }
         }
 
         /**
-         * Ends our sending, and reads away what the client sent before it saw that: closing over unread bytes would
-         * reset the connection, and take an answer along that the client has not read. What is read then is not
-         * served: the client sends it once more elsewhere.
+         * Shuts down the output side, then reads and discards what the client sent before it saw the shutdown.
+         * Closing with unread bytes would reset the connection and could destroy a response that the client has not
+         * read yet. Requests read meanwhile are not served: the client sends them again elsewhere.
          */
-        private void part() {
+        private void closeGracefully() {
             closing = true;
             reading = false;
-            dueSinceUs = NEVER;
+            timeoutStartUs = NEVER;
             if (context.channel() instanceof SocketChannel socket && socket.isActive()) {
                 socket.config().setAutoRead(true);
                 HalfClose.shutdownOutputOrClose(socket);
@@ -447,16 +492,16 @@
         @Override
         public void channelActive(final ChannelHandlerContext ctx) {
             context = ctx;
-            accepted++;
-            makeRoom();
+            acceptedConnections++;
+            shedSilentConnections();
             sessions.add(this);
         }
 
         @Override
         public void channelReadComplete(final ChannelHandlerContext ctx) {
-            // Behind a whole request, a half one has come in the same read: its time runs too.
-            if (!begun && !reading && !closing && decoder.hasRest()) {
-                arrived();
+            // An incomplete request arrived in the same read as a complete one: its timeout starts too.
+            if (!requestStarted && !reading && !closing && decoder.hasPartialRequest()) {
+                bytesArrived();
             }
             ctx.fireChannelReadComplete();
         }
@@ -466,17 +511,17 @@
             sessions.remove(this);
             queue.clear();
             if (currentId != null) {
-                host.withdraw(currentId);
+                service.withdraw(currentId);
             }
         }
 
         @Override
-        protected void channelRead0(final ChannelHandlerContext ctx, final HttpObject part) {
-            if (closing || fault != null) {
+        protected void channelRead0(final ChannelHandlerContext ctx, final HttpObject message) {
+            if (closing || errorStatus != null) {
                 return;
             }
-            if (part.decoderResult().isFailure()) {
-                final Throwable cause = part.decoderResult().cause();
+            if (message.decoderResult().isFailure()) {
+                final Throwable cause = message.decoderResult().cause();
                 reject(
                         cause instanceof TooLongHttpLineException
                                 ? HttpResponseStatus.REQUEST_URI_TOO_LONG
@@ -485,19 +530,19 @@
                                         : HttpResponseStatus.BAD_REQUEST);
                 return;
             }
-            if (part instanceof HttpRequest request) {
+            if (message instanceof HttpRequest request) {
                 head = request;
                 body.reset();
                 reading = true;
-                sinceUs = clock.nowUs();
-                dueSinceUs = Math.min(dueSinceUs, sinceUs);
-                if (HttpUtil.getContentLength(request, 0L) > MOST_BODY_BYTES) {
+                lastRequestUs = clock.nowUs();
+                timeoutStartUs = Math.min(timeoutStartUs, lastRequestUs);
+                if (HttpUtil.getContentLength(request, 0L) > MAX_BODY_BYTES) {
                     reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
                     return;
                 }
             }
-            if (part instanceof HttpContent content && reading) {
-                if (body.size() + content.content().readableBytes() > MOST_BODY_BYTES) {
+            if (message instanceof HttpContent content && reading) {
+                if (body.size() + content.content().readableBytes() > MAX_BODY_BYTES) {
                     reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
                     return;
                 }
@@ -506,134 +551,142 @@
                 } catch (final IOException e) {
                     throw new IllegalStateException("writing to memory failed", e);
                 }
-                if (part instanceof LastHttpContent) {
+                if (message instanceof LastHttpContent) {
                     reading = false;
-                    begun = false;
-                    dueSinceUs = NEVER;
-                    queue.add(new Request(head, body.toByteArray(), begunUs));
-                    next();
+                    requestStarted = false;
+                    timeoutStartUs = NEVER;
+                    queue.add(new Request(head, body.toByteArray(), firstBytesUs));
+                    serveNext();
                 }
             }
         }
 
-        /** Serves requests of one connection in turn, so that their answers keep their order. */
-        private void next() {
+        /** Serves the requests of the connection one at a time, so that the responses keep their order. */
+        private void serveNext() {
             while (current == null && !queue.isEmpty() && !closing) {
                 current = queue.poll();
-                sinceUs = clock.nowUs();
+                lastRequestUs = clock.nowUs();
                 serve(current);
             }
-            if (fault != null && current == null && !closing) {
-                refuse(fault);
+            if (errorStatus != null && current == null && !closing) {
+                sendErrorAndClose(errorStatus);
             }
-            context.channel().config().setAutoRead(queue.size() < MOST_QUEUED);
+            context.channel().config().setAutoRead(queue.size() < MAX_QUEUED_REQUESTS);
         }
 
         private void serve(final Request request) {
             final String path = request.head().uri();
             if (path.equals("/up")) {
                 if (!request.head().method().equals(HttpMethod.GET)) {
-                    answer(HttpResponseStatus.METHOD_NOT_ALLOWED, 0);
+                    respond(HttpResponseStatus.METHOD_NOT_ALLOWED, 0);
                 } else {
-                    answer(
-                            draining || isLeft() && !leaving
+                    respond(
+                            shuttingDown || isDrained() && !handedOver
                                     ? HttpResponseStatus.SERVICE_UNAVAILABLE
                                     : HttpResponseStatus.OK,
                             0);
                 }
-                // Who only asks whether we are up may go on to hand in a message, but not keep a connection idle.
-                dueSinceUs = Math.min(dueSinceUs, clock.nowUs());
+                // After a health check the client may submit a message, but may not keep the connection idle.
+                timeoutStartUs = Math.min(timeoutStartUs, clock.nowUs());
                 return;
             }
-            // Either "/class", or "/class/key" where the class keeps an order, and no more: anything else is no
-            // message.
+            // The path is "/class", or "/class/key" for a class with ordering; any other path is not found.
             final String[] parts = path.split("/", -1);
-            final Courier.MessageClass kind =
-                    parts.length > 1 && parts[0].isEmpty() ? host.messageClass(parts[1]) : null;
-            if (kind == null
-                    || parts.length != (kind.ordered() ? 3 : 2)
-                    || !KEY.matcher(parts[parts.length - 1]).matches()) {
-                answer(HttpResponseStatus.NOT_FOUND, 0);
+            final Courier.MessageClass messageClass =
+                    parts.length > 1 && parts[0].isEmpty() ? service.messageClass(parts[1]) : null;
+            if (messageClass == null
+                    || parts.length != (messageClass.ordered() ? 3 : 2)
+                    || !PATH_SEGMENT.matcher(parts[parts.length - 1]).matches()) {
+                respond(HttpResponseStatus.NOT_FOUND, 0);
             } else if (!request.head().method().equals(HttpMethod.POST)) {
-                answer(HttpResponseStatus.METHOD_NOT_ALLOWED, 0);
+                respond(HttpResponseStatus.METHOD_NOT_ALLOWED, 0);
             } else {
-                handIn(request, kind, kind.ordered() ? parts[2] : null);
+                submitMessage(request, messageClass, messageClass.ordered() ? parts[2] : null);
             }
         }
 
-        private void handIn(final Request request, final Courier.MessageClass kind, final String orderKey) {
+        private void submitMessage(
+                final Request request, final Courier.MessageClass messageClass, final String orderKey) {
             final HttpHeaders headers = request.head().headers();
             final String id = headers.get("X-Request-ID", "");
-            final long timeoutMs = whole(headers.get("X-Timeout-Ms"));
-            final long destination = destination(headers.get("X-Consignee"));
+            final long timeoutMs = parseNonNegative(headers.get("X-Timeout-Ms"));
+            final long destination = parseDestination(headers.get("X-Consignee"));
             final String key = headers.get("Idempotency-Key");
-            if (OWN_HEADERS.stream().anyMatch(name -> headers.getAll(name).size() != 1)
+            if (REQUIRED_HEADERS.stream().anyMatch(name -> headers.getAll(name).size() != 1)
                     || id.isEmpty()
-                    || id.length() > MOST_ID_CHARS
+                    || id.length() > MAX_ID_CHARS
                     || timeoutMs < 0
                     || destination < 0
-                    || !kind.name().equals(headers.get("X-Priority-Class"))) {
-                answer(HttpResponseStatus.BAD_REQUEST, 0);
+                    || !messageClass.name().equals(headers.get("X-Priority-Class"))) {
+                respond(HttpResponseStatus.BAD_REQUEST, 0);
                 return;
             }
-            if (host.hasMessage(id)) {
-                answer(HttpResponseStatus.CONFLICT, 0);
+            if (service.hasMessage(id)) {
+                respond(HttpResponseStatus.CONFLICT, 0);
                 return;
             }
-            final long askedUs = Math.min(timeoutMs, kind.deadlineUs() / US_PER_MS) * US_PER_MS;
-            final long lifeUs = askedUs - (clock.nowUs() - request.begunUs());
-            if (lifeUs <= 0) {
-                // Its time was up before it was here whole: nothing is promised that cannot be kept.
-                host.countRejected(kind.name());
-                answer(HttpResponseStatus.SERVICE_UNAVAILABLE, SPENT_RETRY_US);
+            final long requestedUs = Math.min(timeoutMs, messageClass.deadlineUs() / US_PER_MS) * US_PER_MS;
+            final long remainingUs = requestedUs - (clock.nowUs() - request.firstBytesUs());
+            if (remainingUs <= 0) {
+                // The message expired before its request was complete, so it cannot be delivered in time.
+                service.countRejected(messageClass.name());
+                respond(HttpResponseStatus.SERVICE_UNAVAILABLE, EXPIRED_RETRY_AFTER_US);
                 return;
             }
-            if (!host.isPossibleDestination(destination)) {
-                // Nobody could ever deliver it; should the list be late, handing it in again is harmless.
-                host.countRejected(kind.name());
-                answer(HttpResponseStatus.SERVICE_UNAVAILABLE, UNKNOWN_RETRY_US);
+            if (!service.isPossibleDestination(destination)) {
+                // No endpoint serves this destination; if the list is only late, a retry is harmless.
+                service.countRejected(messageClass.name());
+                respond(HttpResponseStatus.SERVICE_UNAVAILABLE, UNKNOWN_DESTINATION_RETRY_AFTER_US);
                 return;
             }
             currentId = id;
-            host.submit(
+            service.submit(
                     new AcceptedMessage(
-                            id, kind.name(), key, orderKey, destination, clock.persistentUs() + lifeUs, request.body()),
-                    clock.nowUs() + lifeUs,
+                            id,
+                            messageClass.name(),
+                            key,
+                            orderKey,
+                            destination,
+                            clock.persistentUs() + remainingUs,
+                            request.body()),
+                    clock.nowUs() + remainingUs,
                     new MessageService.Reply() {
                         @Override
                         public void accepted() {
-                            // A client that surely never gets this counts on nothing: its message is withdrawn.
+                            // If the client certainly never gets this response, its message is withdrawn.
                             final TrackedSocketChannel connection = (TrackedSocketChannel) context.channel();
                             final long writesBefore = connection.writeCount();
-                            answer(HttpResponseStatus.valueOf(ACCEPTED), 0).addListener(done -> {
+                            respond(HttpResponseStatus.valueOf(ACCEPTED), 0).addListener(done -> {
                                 if (!done.isSuccess()) {
-                                    host.acceptanceFailed(id, connection.transmissionOfAnyPart(writesBefore));
+                                    service.acceptanceFailed(id, connection.transmissionOfAnyPart(writesBefore));
                                 }
                             });
                         }
 
                         @Override
                         public void refused(final int status, final long retryAfterUs) {
-                            answer(HttpResponseStatus.valueOf(status), retryAfterUs);
+                            respond(HttpResponseStatus.valueOf(status), retryAfterUs);
                         }
 
                         @Override
                         public void failed() {
-                            answer(HttpResponseStatus.valueOf(FAILED), 0);
+                            respond(HttpResponseStatus.valueOf(FAILED), 0);
                         }
                     });
         }
 
-        private ChannelFuture answer(final HttpResponseStatus status, final long retryAfterUs) {
-            // Whoever does not speak as agreed is not kept, or its connections would fill the descriptors.
-            final boolean strange =
+        private ChannelFuture respond(final HttpResponseStatus status, final long retryAfterUs) {
+            // Connections of clients that violate the protocol are closed, or they would use up the descriptors.
+            final boolean protocolError =
                     status.codeClass() == HttpStatusClass.CLIENT_ERROR && status.code() != TOO_MANY_REQUESTS;
-            // A request that is here already, or a part of it, is answered too: the last one's answer says close.
-            final boolean more = !queue.isEmpty() || begun || reading || fault != null;
-            final boolean keep = HttpUtil.isKeepAlive(current.head()) && !strange && (more || !draining && !isLeft());
+            // Requests that have arrived, even in part, are answered too: only the last response says close.
+            final boolean morePending = !queue.isEmpty() || requestStarted || reading || errorStatus != null;
+            final boolean keepAlive = HttpUtil.isKeepAlive(current.head())
+                    && !protocolError
+                    && (morePending || !shuttingDown && !isDrained());
             current = null;
             currentId = null;
-            heardUs = clock.nowUs();
+            lastActivityUs = clock.nowUs();
             final var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
             if (retryAfterUs > 0) {
@@ -642,48 +695,48 @@
                                 HttpHeaderNames.RETRY_AFTER,
                                 String.format(Locale.ROOT, "%.3f", retryAfterUs / US_PER_SECOND));
             }
-            if (!keep) {
+            if (!keepAlive) {
                 response.headers().set(HttpHeaderNames.CONNECTION, "close");
             }
             final ChannelFuture written = context.writeAndFlush(response);
-            if (keep) {
-                context.executor().execute(this::next);
+            if (keepAlive) {
+                context.executor().execute(this::serveNext);
             } else {
                 closing = true;
                 queue.clear();
-                written.addListener(done -> part());
+                written.addListener(done -> closeGracefully());
             }
             return written;
         }
 
-        /** What has come is no request, or never gets whole: those ahead of it have their answers first. */
+        /** Ends the connection with an error response, sent after the responses to the requests before it. */
         private void reject(final HttpResponseStatus status) {
-            fault = status;
+            errorStatus = status;
             reading = false;
-            begun = false;
-            dueSinceUs = NEVER;
-            next();
+            requestStarted = false;
+            timeoutStartUs = NEVER;
+            serveNext();
         }
 
-        private void refuse(final HttpResponseStatus status) {
+        private void sendErrorAndClose(final HttpResponseStatus status) {
             closing = true;
             final var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0).set(HttpHeaderNames.CONNECTION, "close");
-            context.writeAndFlush(response).addListener(written -> part());
+            context.writeAndFlush(response).addListener(written -> closeGracefully());
         }
 
         @Override
         public void exceptionCaught(final ChannelHandlerContext ctx, final Throwable cause) {
             FatalError.exitOn("connection of a client", cause);
             if (!(cause instanceof IOException)) {
-                Log.failure("a client's connection", cause);
+                Log.failure("unexpected error on a client connection", cause);
             }
             ctx.close();
         }
     }
 
-    /** A whole number that is not negative, or -1. */
-    private static long whole(final String text) {
+    /** Parses an integer that is not negative; -1 if the text is anything else. */
+    private static long parseNonNegative(final String text) {
         try {
             return text == null ? -1 : Math.max(-1, Long.parseLong(text.trim()));
         } catch (final NumberFormatException e) {
@@ -691,13 +744,13 @@
         }
     }
 
-    /** The destination that a header of {@code name=value} pairs names, or -1. */
-    private static long destination(final String text) {
+    /** The destination in a header of {@code name=value} pairs, or -1. */
+    private static long parseDestination(final String text) {
         if (text != null) {
             for (final String pair : text.split("[,;]")) {
                 final String trimmed = pair.trim();
                 if (trimmed.startsWith("dest=")) {
-                    return whole(trimmed.substring("dest=".length()));
+                    return parseNonNegative(trimmed.substring("dest=".length()));
                 }
             }
         }
--- a/src/main/java/railspar/node/ClockFile.java
+++ b/src/main/java/railspar/node/ClockFile.java
@@ -10,9 +10,9 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * The offset of persistent time in the state folder, so that a new process goes on with the time of the one before it
- * although the wall clock was stepped in between. It holds for one boot of the machine; after another boot, or where
- * the file is missing or torn, persistent time goes by the wall clock again.
+ * Stores the offset between persistent time and the monotonic clock in the state folder, so that persistent time
+ * continues in a new process although the wall clock was stepped in between. The offset is valid for one boot of the
+ * machine. After a reboot, or if the file is missing or incomplete, persistent time is set to the wall clock again.
  */
 final class ClockFile {
     private static final String FILE = "clock";
@@ -30,7 +30,7 @@
         this.bootId = bootId;
     }
 
-    /** The file of a state folder, on this boot of this machine. */
+    /** The clock file of a state folder, for the current boot of the machine. */
     static ClockFile in(final Path folder) {
         return new ClockFile(folder, bootId());
     }
@@ -39,20 +39,21 @@
         try {
             return Files.readString(BOOT_ID).trim();
         } catch (final IOException e) {
-            Log.info("the boot of this machine is not known: " + e.getMessage());
+            Log.info("the boot id of this machine cannot be read: " + e.getMessage());
             return "";
         }
     }
 
-    /** Sets a clock's persistent time by the file, and writes the file where there is none that can be used. */
+    /** Sets the persistent time of a clock from the file, or rewrites the file if its offset is not valid. */
     void apply(final Clock clock) throws IOException {
         final Stored stored = read();
         if (stored != null && stored.bootId().equals(bootId)) {
             clock.setPersistentOffsetUs(stored.offsetUs());
-            // A monotonic clock that has begun anew since is another one.
+            // A persistent time before the write means that the monotonic clock was reset; the offset is not valid.
             if (clock.persistentUs() >= stored.writtenUs()) {
                 final long steppedUs = clock.wallOffsetUs() - stored.offsetUs();
-                Log.info("the wall clock has moved by " + steppedUs + " us since the state folder was first used");
+                Log.info("the wall clock has been adjusted by " + steppedUs
+                        + " us since the state folder was first used");
                 return;
             }
         }
@@ -63,9 +64,9 @@
     private Stored read() throws IOException {
         final Stored[] found = new Stored[1];
         try (FileChannel file = FileChannel.open(folder.resolve(FILE), StandardOpenOption.READ)) {
-            Records.read(file, 0, (type, id, rest) -> {
+            Records.read(file, 0, (type, id, content) -> {
                 if (type == OFFSET) {
-                    found[0] = new Stored(id, rest.readLong(), rest.readLong());
+                    found[0] = new Stored(id, content.readLong(), content.readLong());
                 }
             });
         } catch (final NoSuchFileException e) {
@@ -79,11 +80,11 @@
             out.writeLong(stored.offsetUs());
             out.writeLong(stored.writtenUs());
         });
-        final Path next = folder.resolve(NEXT_FILE);
+        final Path newFile = folder.resolve(NEXT_FILE);
         try (FileChannel file = FileChannel.open(
-                next, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
+                newFile, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
             Records.write(file, record, 0);
         }
-        Files.move(next, folder.resolve(FILE), StandardCopyOption.ATOMIC_MOVE);
+        Files.move(newFile, folder.resolve(FILE), StandardCopyOption.ATOMIC_MOVE);
     }
 }
--- a/src/main/java/railspar/node/GcMonitor.java
+++ b/src/main/java/railspar/node/GcMonitor.java
@@ -10,19 +10,19 @@
 import java.util.function.Supplier;
 
 /**
- * Tells a {@link MemoryBudget} what full collections of the heap leave alive. The platform's beans take a megabyte,
- * so they are loaded only once the messages take a part of the budget that makes the rest of the heap matter.
+ * Reports the live heap after full collections to a {@link MemoryBudget}. The platform MXBeans take a megabyte of
+ * memory, so they are loaded only once messages use enough of the budget for the rest of the heap to matter.
  */
 final class GcMonitor {
-    /** From this share of the budget on it is looked at the collections. */
-    private static final double BUSY_SHARE = 0.25;
+    /** Collections are checked once this share of the budget is used. */
+    private static final double MIN_USED_SHARE = 0.25;
 
     private final MemoryBudget budget;
     private final Supplier<List<MemoryPoolMXBean>> pools;
-    /** The pool of what outlives young collections; null until it is needed, empty where there is none. */
+    /** The pool of objects that survive young collections; null until it is needed, empty if there is none. */
     private Optional<MemoryPoolMXBean> tenured;
 
-    private long seenBytes;
+    private long lastLiveBytes;
 
     GcMonitor(final MemoryBudget budget) {
         this(budget, ManagementFactory::getMemoryPoolMXBeans);
@@ -33,17 +33,17 @@
         this.pools = pools;
     }
 
-    /** Looks whether there was a full collection since, at the cost of reading one figure. */
+    /** Checks for a full collection since the last call; this reads a single value. */
     void checkForCollection() {
         if (tenured == null) {
-            if (budget.usedBytes() < BUSY_SHARE * budget.capacityBytes()) {
+            if (budget.usedBytes() < MIN_USED_SHARE * budget.capacityBytes()) {
                 return;
             }
             tenured = largestPool();
         }
         tenured.map(MemoryPoolMXBean::getCollectionUsage)
                 .map(MemoryUsage::getUsed)
-                .ifPresent(this::found);
+                .ifPresent(this::updateBudget);
     }
 
     private Optional<MemoryPoolMXBean> largestPool() {
@@ -52,9 +52,9 @@
                 .max(Comparator.comparingLong(pool -> pool.getUsage().getMax()));
     }
 
-    private void found(final long liveBytes) {
-        if (liveBytes != seenBytes) {
-            seenBytes = liveBytes;
+    private void updateBudget(final long liveBytes) {
+        if (liveBytes != lastLiveBytes) {
+            lastLiveBytes = liveBytes;
             budget.updateAfterCollection(liveBytes);
         }
     }
--- a/src/main/java/railspar/node/Journal.java
+++ b/src/main/java/railspar/node/Journal.java
@@ -18,72 +18,72 @@
 import java.util.Map;
 
 /**
- * The record of what this courier has taken on, in the folder that outlasts the process. A file of {@link Records};
- * what a kill cut off at its end is dropped. When the file has grown to its bound, what is still owed is written to
- * a new file that takes its place at once. Nothing is synced: the folder outlasts the process, and a machine that is
- * lost loses the folder as well.
+ * The write-ahead log of accepted messages, in the state folder, which outlasts the process. It is a file of
+ * {@link Records}; an incomplete record at its end, left by a kill, is dropped. When the file reaches its maximum
+ * size, the open messages are written to a new file that replaces it atomically. Nothing is synced: the folder
+ * outlasts the process, and if the machine is lost, so is the folder.
  *
- * <p>The folder may fail for a while. A message is taken on and an attempt is begun only where its record is
- * written. How messages fare is recorded as soon as the folder lets it: until then these records wait in their
- * order, and nothing is written ahead of them.
+ * <p>Writes to the folder may fail for a while. A message is accepted, and an attempt started, only after its record
+ * is written. Records of outcomes are queued until they can be written: they stay in order, and nothing is written
+ * ahead of them.
  */
 final class Journal implements AutoCloseable {
     private static final String FILE = "journal";
     private static final String NEXT_FILE = "journal.next";
-    /** Share of the disk for one file: with the one that takes its place, four fifths are used at most. */
+    /** Share of the disk limit for one file. During a compaction two files exist and use at most four fifths. */
     private static final double FILE_SHARE = 0.4;
-    /** Share of a file that messages may fill: the rest is for how they fare, which must always find room. */
-    private static final double TAKE_SHARE = 0.6;
-    /** Room that is reckoned for how a message fares, and its notice: attempts are few and short. */
-    private static final int FATE_BYTES = 256;
+    /** Share of a file for accepted messages; the rest is for records of attempts and outcomes, which must fit. */
+    private static final double ACCEPTED_SHARE = 0.6;
+    /** Space reserved per message for the records of its attempts and notice, which are few and short. */
+    private static final int OUTCOME_RESERVE_BYTES = 256;
 
     static final byte ACCEPTED = 1;
-    private static final byte BEGUN = 2;
-    private static final byte SETTLED = 3;
-    private static final byte OWED = 4;
-    private static final byte OVER = 5;
-    private static final byte READ = 6;
-    /** For {@link #read}: that file is gone. */
+    private static final byte ATTEMPT_STARTED = 2;
+    private static final byte ATTEMPT_ENDED = 3;
+    private static final byte NOTICE_PENDING = 4;
+    private static final byte COMPLETED = 5;
+    private static final byte READ_POSITION = 6;
+    /** For {@link #recordReadPosition}: the file has been removed. */
     static final long FILE_REMOVED = -1;
 
     private final Path folder;
-    private final long fileBytes;
-    /** What the messages that are held may take of the heap. */
+    private final long maxFileBytes;
+    /** The heap limit for open messages. */
     private final MemoryBudget memory;
 
     private final Map<String, AcceptedMessage> openMessages = new LinkedHashMap<>();
-    /** How far the files of processes that leave have been read, by their names. */
+    /** How far the handover files of predecessor processes have been read, by file name. */
     private final Map<String, Long> readPositions = new LinkedHashMap<>();
 
-    /** Records on how messages fared that could not be written yet. */
-    private final Deque<ByteBuffer> backlog = new ArrayDeque<>();
+    /** Records of outcomes that could not be written yet. */
+    private final Deque<ByteBuffer> unwrittenRecords = new ArrayDeque<>();
 
     private RecordFile file;
-    /** A compacted file whose renaming failed, while it is not known whether it took effect; or null. */
+    /** A compacted file whose rename failed, while it is unknown whether the rename took effect; otherwise null. */
     private RecordFile replacement;
 
-    private long liveBytes;
-    private boolean failing;
+    private long openMessageBytes;
+    private boolean writesFailing;
 
     private Journal(final Path folder, final long diskBytes, final MemoryBudget memory) {
         this.folder = folder;
         this.memory = memory;
-        this.fileBytes = (long) (FILE_SHARE * diskBytes);
+        this.maxFileBytes = (long) (FILE_SHARE * diskBytes);
     }
 
-    /** Opens the journal of a folder, or begins it, and reads what the courier still owes. */
+    /** Opens or creates the journal of a folder, and reads the open messages. */
     static Journal open(final Path folder, final long diskBytes) throws IOException {
         return open(folder, diskBytes, MemoryBudget.unlimited());
     }
 
     /**
-     * As above, with a bound on the memory of what is taken on. What the folder holds is read whether or not it is
-     * within that bound.
+     * As above, with a heap limit for accepting messages. The messages in the folder are loaded even if they exceed
+     * the limit.
      */
     static Journal open(final Path folder, final long diskBytes, final MemoryBudget memory) throws IOException {
         final Journal journal = new Journal(folder, diskBytes, memory);
         Files.createDirectories(folder);
-        // A kill in the middle of a compaction leaves this; the old file is still the whole truth.
+        // Left by a kill during a compaction; the old file is still complete.
         Files.deleteIfExists(folder.resolve(NEXT_FILE));
         final FileChannel file = FileChannel.open(
                 folder.resolve(FILE), StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
@@ -96,98 +96,98 @@
         return journal;
     }
 
-    /** What the courier owes an end or a notice, in the order taken. */
+    /** The messages that have no outcome yet, or whose notice is not yet confirmed, in the order of acceptance. */
     Collection<AcceptedMessage> openMessages() {
         return List.copyOf(openMessages.values());
     }
 
-    /** Whether a message that a client hands in is taken on. */
+    /** Whether a submitted message is accepted. */
     enum Admission {
-        /** It is recorded. */
+        /** The message is recorded. */
         ACCEPTED,
-        /** There is no room for it, or it could not be recorded: the next process does not know of it. */
+        /** There is no space for it, or it could not be recorded; a restarted process does not know of it. */
         REJECTED,
-        /** It is not held here, but the next process may find it. */
+        /** It is not open in this process, but a restarted process may find its record. */
         UNCERTAIN
     }
 
-    /** Records a message that is taken on; nothing is taken if there is no room for it. */
-    Admission accept(final AcceptedMessage held) {
-        final long bytes = bytes(held);
-        if (liveBytes + bytes > TAKE_SHARE * fileBytes || !memory.admit(held)) {
+    /** Records and accepts a message, unless it exceeds the disk or heap limit. */
+    Admission accept(final AcceptedMessage message) {
+        final long bytes = journalBytes(message);
+        if (openMessageBytes + bytes > ACCEPTED_SHARE * maxFileBytes || !memory.admit(message)) {
             return Admission.REJECTED;
         }
-        final RecordFile.AppendResult append = append(acceptedRecord(held));
+        final RecordFile.AppendResult append = append(acceptedRecord(message));
         if (append != RecordFile.AppendResult.WRITTEN) {
-            memory.release(held);
+            memory.release(message);
             return append == RecordFile.AppendResult.UNCERTAIN ? Admission.UNCERTAIN : Admission.REJECTED;
         }
-        openMessages.put(held.id, held);
-        liveBytes += bytes;
+        openMessages.put(message.id, message);
+        openMessageBytes += bytes;
         return Admission.ACCEPTED;
     }
 
-    /** Records a message that a leaving process took on: it is owed its end whether or not it is too much. */
-    boolean acceptInherited(final AcceptedMessage held) {
-        if (append(acceptedRecord(held)) != RecordFile.AppendResult.WRITTEN) {
+    /** Records a message accepted by a predecessor process. It is taken over even if the limits are exceeded. */
+    boolean acceptInherited(final AcceptedMessage message) {
+        if (append(acceptedRecord(message)) != RecordFile.AppendResult.WRITTEN) {
             return false;
         }
-        openMessages.put(held.id, held);
-        liveBytes += bytes(held);
-        memory.charge(held);
+        openMessages.put(message.id, message);
+        openMessageBytes += journalBytes(message);
+        memory.charge(message);
         return true;
     }
 
-    /** Records an attempt, before its call's first byte; false if that failed, and then it may not be made. */
-    boolean beginAttempt(final AcceptedMessage held, final long persistentUs, final String zone) {
-        final ByteBuffer begun = Records.encode(BEGUN, held.id, out -> {
+    /** Records an attempt before the first byte of its call; if that fails (false), the call must not be made. */
+    boolean beginAttempt(final AcceptedMessage message, final long persistentUs, final String zone) {
+        final ByteBuffer record = Records.encode(ATTEMPT_STARTED, message.id, out -> {
             out.writeLong(persistentUs);
             out.writeUTF(zone);
         });
-        if (append(begun) != RecordFile.AppendResult.WRITTEN) {
+        if (append(record) != RecordFile.AppendResult.WRITTEN) {
             return false;
         }
-        held.beginAttempt(persistentUs, zone);
+        message.beginAttempt(persistentUs, zone);
         return true;
     }
 
     /** Records the outcome of an attempt. */
-    void endAttempt(final AcceptedMessage held, final boolean neverRan) {
-        held.endAttempt(neverRan);
-        note(Records.encode(SETTLED, held.id, out -> out.writeBoolean(neverRan)));
+    void endAttempt(final AcceptedMessage message, final boolean hadNoEffect) {
+        message.endAttempt(hadNoEffect);
+        writeOrQueue(Records.encode(ATTEMPT_ENDED, message.id, out -> out.writeBoolean(hadNoEffect)));
     }
 
     /**
-     * Records that a message has ended and that only its notice is still owed; false while that waits for the folder:
-     * the next process would go on with the message.
+     * Records that a message has ended and only its notice is pending. False while the record is not written: until
+     * then a restarted process would continue with the message.
      */
-    boolean recordNotice(final AcceptedMessage held, final AcceptedMessage.Notice notice) {
-        held.setNotice(notice);
-        return note(owed(held));
+    boolean recordNotice(final AcceptedMessage message, final AcceptedMessage.Notice notice) {
+        message.setNotice(notice);
+        return writeOrQueue(noticeRecord(message));
     }
 
-    /** Records that nothing is owed for a message any more; false while that waits for the folder. */
-    boolean complete(final AcceptedMessage held) {
-        if (openMessages.remove(held.id) == null) {
+    /** Records that a message is complete and needs no notice; false while the record is not written. */
+    boolean complete(final AcceptedMessage message) {
+        if (openMessages.remove(message.id) == null) {
             return true;
         }
-        liveBytes -= bytes(held);
-        memory.release(held);
-        return note(Records.encode(OVER, held.id, out -> {}));
+        openMessageBytes -= journalBytes(message);
+        memory.release(message);
+        return writeOrQueue(Records.encode(COMPLETED, message.id, out -> {}));
     }
 
-    /** Records that a leaving process's file is taken up so far, or that it is gone. */
+    /** Records how far the handover file of a predecessor has been processed, or that the file was removed. */
     void recordReadPosition(final String name, final long position) {
-        heard(name, position);
-        note(Records.encode(READ, name, out -> out.writeLong(position)));
+        setReadPosition(name, position);
+        writeOrQueue(Records.encode(READ_POSITION, name, out -> out.writeLong(position)));
     }
 
-    /** How far a leaving process's file had been taken up. */
+    /** How far the handover file of a predecessor has been processed. */
     long readPosition(final String name) {
         return readPositions.getOrDefault(name, 0L);
     }
 
-    private void heard(final String name, final long position) {
+    private void setReadPosition(final String name, final long position) {
         if (position == FILE_REMOVED) {
             readPositions.remove(name);
         } else {
@@ -195,49 +195,49 @@
         }
     }
 
-    /** True for a message that is owed an end or a notice. */
+    /** True for an open message: one without an outcome, or with a pending notice. */
     boolean contains(final String id) {
         return openMessages.containsKey(id);
     }
 
-    /** Closes the file; what it held is not charged to the memory any more. */
+    /** Closes the file, and releases the memory charged for the open messages. */
     @Override
     public void close() throws IOException {
         openMessages.values().forEach(memory::release);
         file.close();
     }
 
-    private static long bytes(final AcceptedMessage held) {
-        final int keys = (held.idempotencyKey == null ? 0 : held.idempotencyKey.length())
-                + (held.orderKey == null ? 0 : held.orderKey.length());
-        return held.body.length + 2L * held.id.length() + keys + FATE_BYTES;
+    private static long journalBytes(final AcceptedMessage message) {
+        final int keys = (message.idempotencyKey == null ? 0 : message.idempotencyKey.length())
+                + (message.orderKey == null ? 0 : message.orderKey.length());
+        return message.body.length + 2L * message.id.length() + keys + OUTCOME_RESERVE_BYTES;
     }
 
     // ---------------------------------------------------------------- writing
 
-    /** A message with all that became of it, so that one record is enough after a compaction. */
-    static ByteBuffer acceptedRecord(final AcceptedMessage held) {
-        return Records.encode(ACCEPTED, held.id, out -> {
-            out.writeUTF(held.className);
-            out.writeBoolean(held.idempotencyKey != null);
-            out.writeUTF(held.idempotencyKey == null ? "" : held.idempotencyKey);
-            out.writeLong(held.destination);
-            out.writeLong(held.validUntilPersistentUs);
-            out.writeInt(held.body.length);
-            out.write(held.body);
-            out.writeInt(held.attempts() - (held.hasAttemptInFlight() ? 1 : 0));
-            out.writeLong(held.firstEffectPersistentUs());
-            out.writeUTF(held.effectZone());
-            // Behind all that an older journal has, which the next process may find when the program is replaced.
-            out.writeBoolean(held.orderKey != null);
-            out.writeUTF(held.orderKey == null ? "" : held.orderKey);
+    /** The record of a message with its attempts so far, so that one record is enough after a compaction. */
+    static ByteBuffer acceptedRecord(final AcceptedMessage message) {
+        return Records.encode(ACCEPTED, message.id, out -> {
+            out.writeUTF(message.className);
+            out.writeBoolean(message.idempotencyKey != null);
+            out.writeUTF(message.idempotencyKey == null ? "" : message.idempotencyKey);
+            out.writeLong(message.destination);
+            out.writeLong(message.validUntilPersistentUs);
+            out.writeInt(message.body.length);
+            out.write(message.body);
+            out.writeInt(message.attempts() - (message.hasAttemptInFlight() ? 1 : 0));
+            out.writeLong(message.firstEffectPersistentUs());
+            out.writeUTF(message.effectZone());
+            // After the fields of the older format: after a program update a journal may still lack this one.
+            out.writeBoolean(message.orderKey != null);
+            out.writeUTF(message.orderKey == null ? "" : message.orderKey);
         });
     }
 
-    private static ByteBuffer owed(final AcceptedMessage held) {
-        return Records.encode(OWED, held.id, out -> {
-            out.writeBoolean(held.notice().failed());
-            out.writeLong(held.notice().retryAfterMs());
+    private static ByteBuffer noticeRecord(final AcceptedMessage message) {
+        return Records.encode(NOTICE_PENDING, message.id, out -> {
+            out.writeBoolean(message.notice().failed());
+            out.writeLong(message.notice().retryAfterMs());
         });
     }
 
@@ -245,49 +245,49 @@
         return flush() ? write(record) : RecordFile.AppendResult.NOT_WRITTEN;
     }
 
-    /** Writes a record now or as soon as that can be done; true if it is written. */
-    private boolean note(final ByteBuffer record) {
-        backlog.add(record);
+    /** Writes a record now, or queues it until it can be written; true if it is written. */
+    private boolean writeOrQueue(final ByteBuffer record) {
+        unwrittenRecords.add(record);
         return flush();
     }
 
-    /** Writes what waits for the folder; true if nothing waits any more. */
+    /** Writes the queued records, and truncates what a failed write left; true if nothing is left to do. */
     boolean flush() {
-        while (!backlog.isEmpty() && write(backlog.peek()) == RecordFile.AppendResult.WRITTEN) {
-            backlog.remove();
+        while (!unwrittenRecords.isEmpty() && write(unwrittenRecords.peek()) == RecordFile.AppendResult.WRITTEN) {
+            unwrittenRecords.remove();
         }
-        return backlog.isEmpty() && file.truncateFailedWrite(this::failed);
+        return unwrittenRecords.isEmpty() && file.truncateFailedWrite(this::writeFailed);
     }
 
     private RecordFile.AppendResult write(final ByteBuffer record) {
         try {
-            settleReplacement();
-            if (file.size() + record.capacity() > fileBytes) {
+            resolveReplacement();
+            if (file.size() + record.capacity() > maxFileBytes) {
                 compact();
             }
         } catch (final IOException e) {
-            failed(e);
+            writeFailed(e);
             return RecordFile.AppendResult.NOT_WRITTEN;
         }
-        final RecordFile.AppendResult append = file.append(record, this::failed);
-        if (append == RecordFile.AppendResult.WRITTEN && failing) {
-            failing = false;
+        final RecordFile.AppendResult append = file.append(record, this::writeFailed);
+        if (append == RecordFile.AppendResult.WRITTEN && writesFailing) {
+            writesFailing = false;
             Log.info("journal: can be written again");
         }
         return append;
     }
 
-    private void failed(final IOException cause) {
-        if (!failing) {
+    private void writeFailed(final IOException cause) {
+        if (!writesFailing) {
             Log.info("journal: cannot write: " + cause.getMessage());
         }
-        failing = true;
+        writesFailing = true;
     }
 
-    /** Writes what is owed to a new file and puts it in the place of the old one in one step. */
+    /** Writes the open messages to a new file, which replaces the old one atomically. */
     private void compact() throws IOException {
         final Path next = folder.resolve(NEXT_FILE);
-        final FileChannel fresh = FileChannel.open(
+        final FileChannel newFile = FileChannel.open(
                 next,
                 StandardOpenOption.CREATE,
                 StandardOpenOption.TRUNCATE_EXISTING,
@@ -295,24 +295,24 @@
                 StandardOpenOption.WRITE);
         final RecordFile compacted;
         try {
-            compacted = new RecordFile(fresh, writeLive(fresh));
+            compacted = new RecordFile(newFile, writeOpenMessages(newFile));
         } catch (final IOException e) {
-            fresh.close();
+            newFile.close();
             throw e;
         }
         try {
             Files.move(next, folder.resolve(FILE), StandardCopyOption.ATOMIC_MOVE);
         } catch (final IOException e) {
             replacement = compacted;
-            failed(e);
-            settleReplacement();
+            writeFailed(e);
+            resolveReplacement();
             return;
         }
         replaceWith(compacted);
     }
 
-    /** A rename that failed may have taken effect: the file's new name tells. */
-    private void settleReplacement() throws IOException {
+    /** Finds out whether a failed rename took effect, by checking if the file still exists under its old name. */
+    private void resolveReplacement() throws IOException {
         if (replacement == null) {
             return;
         }
@@ -328,7 +328,7 @@
             replaceWith(compacted);
         } else {
             compacted.close();
-            throw new IOException("a compacted file could not be renamed");
+            throw new IOException("the compacted file could not be renamed to " + FILE);
         }
     }
 
@@ -338,49 +338,53 @@
         try {
             old.close();
         } catch (final IOException e) {
-            failed(e);
+            writeFailed(e);
         }
     }
 
-    private long writeLive(final FileChannel fresh) throws IOException {
+    private long writeOpenMessages(final FileChannel newFile) throws IOException {
         long written = 0;
-        for (final AcceptedMessage held : openMessages.values()) {
-            written = copy(fresh, acceptedRecord(held), written);
-            if (held.hasAttemptInFlight()) {
-                written = copy(
-                        fresh,
-                        Records.encode(BEGUN, held.id, out -> {
-                            out.writeLong(held.attemptStartPersistentUs());
-                            out.writeUTF(held.attemptZone());
+        for (final AcceptedMessage message : openMessages.values()) {
+            written = writeRecord(newFile, acceptedRecord(message), written);
+            if (message.hasAttemptInFlight()) {
+                written = writeRecord(
+                        newFile,
+                        Records.encode(ATTEMPT_STARTED, message.id, out -> {
+                            out.writeLong(message.attemptStartPersistentUs());
+                            out.writeUTF(message.attemptZone());
                         }),
                         written);
             }
-            if (held.notice() != null) {
-                written = copy(fresh, owed(held), written);
+            if (message.notice() != null) {
+                written = writeRecord(newFile, noticeRecord(message), written);
             }
         }
-        for (final Map.Entry<String, Long> read : readPositions.entrySet()) {
-            written = copy(fresh, Records.encode(READ, read.getKey(), out -> out.writeLong(read.getValue())), written);
+        for (final Map.Entry<String, Long> entry : readPositions.entrySet()) {
+            written = writeRecord(
+                    newFile,
+                    Records.encode(READ_POSITION, entry.getKey(), out -> out.writeLong(entry.getValue())),
+                    written);
         }
         return written;
     }
 
-    private static long copy(final FileChannel to, final ByteBuffer record, final long at) throws IOException {
+    private static long writeRecord(final FileChannel to, final ByteBuffer record, final long at) throws IOException {
         Records.write(to, record, at);
         return at + record.capacity();
     }
 
     // ---------------------------------------------------------------- reading
 
-    private void load(final FileChannel found) throws IOException {
-        final long size = Records.read(found, 0, this::apply);
-        // A kill in the middle of a write leaves half a record; nothing was answered or sent on its strength.
-        if (size < found.size()) {
-            Log.info("journal: cut " + (found.size() - size) + " bytes of a torn tail at " + size);
-            found.truncate(size);
+    private void load(final FileChannel channel) throws IOException {
+        final long size = Records.read(channel, 0, this::apply);
+        // A kill during a write leaves a partial record; no response or call was made on the basis of it.
+        if (size < channel.size()) {
+            Log.info("journal: truncated " + (channel.size() - size) + " bytes of an incomplete record at " + size);
+            channel.truncate(size);
         }
-        file = new RecordFile(found, size);
-        liveBytes = openMessages.values().stream().mapToLong(Journal::bytes).sum();
+        file = new RecordFile(channel, size);
+        openMessageBytes =
+                openMessages.values().stream().mapToLong(Journal::journalBytes).sum();
         openMessages.values().forEach(memory::charge);
         if (memory.usedBytes() > memory.capacityBytes()) {
             Log.info("journal: " + openMessages.size() + " messages are held, reckoned at " + memory.usedBytes()
@@ -389,38 +393,44 @@
     }
 
     private void apply(final byte type, final String id, final DataInputStream in) throws IOException {
-        final AcceptedMessage held = openMessages.get(id);
+        final AcceptedMessage message = openMessages.get(id);
         if (type == ACCEPTED) {
             openMessages.put(id, parseAccepted(id, in));
-        } else if (type == READ) {
-            heard(id, in.readLong());
-        } else if (held != null) {
+        } else if (type == READ_POSITION) {
+            setReadPosition(id, in.readLong());
+        } else if (message != null) {
             switch (type) {
-                case BEGUN -> held.beginAttempt(in.readLong(), in.readUTF());
-                case SETTLED -> held.endAttempt(in.readBoolean());
-                case OWED -> held.setNotice(new AcceptedMessage.Notice(in.readBoolean(), in.readLong()));
-                case OVER -> openMessages.remove(id);
-                default -> Log.info("journal: unknown record " + type);
+                case ATTEMPT_STARTED -> message.beginAttempt(in.readLong(), in.readUTF());
+                case ATTEMPT_ENDED -> message.endAttempt(in.readBoolean());
+                case NOTICE_PENDING -> message.setNotice(new AcceptedMessage.Notice(in.readBoolean(), in.readLong()));
+                case COMPLETED -> openMessages.remove(id);
+                default -> Log.info("journal: ignored a record of unknown type " + type);
             }
         }
     }
 
-    /** Reads what {@link #taken(AcceptedMessage)} wrote. */
+    /** Parses a record written by {@link #acceptedRecord(AcceptedMessage)}. */
     static AcceptedMessage parseAccepted(final String id, final DataInputStream in) throws IOException {
         final String className = in.readUTF();
-        final boolean keyed = in.readBoolean();
-        final String key = in.readUTF();
+        final boolean hasIdempotencyKey = in.readBoolean();
+        final String idempotencyKey = in.readUTF();
         final long destination = in.readLong();
         final long validUntilPersistentUs = in.readLong();
         final byte[] body = in.readNBytes(in.readInt());
         final int attempts = in.readInt();
-        final long firstRunPersistentUs = in.readLong();
-        final String runZone = in.readUTF();
-        final boolean ordered = in.available() > 0 && in.readBoolean();
-        final String orderKey = ordered ? in.readUTF() : null;
-        final AcceptedMessage taken = new AcceptedMessage(
-                id, className, keyed ? key : null, orderKey, destination, validUntilPersistentUs, body);
-        taken.restoreAttempts(attempts, firstRunPersistentUs, runZone);
-        return taken;
+        final long firstEffectPersistentUs = in.readLong();
+        final String effectZone = in.readUTF();
+        final boolean hasOrderKey = in.available() > 0 && in.readBoolean();
+        final String orderKey = hasOrderKey ? in.readUTF() : null;
+        final AcceptedMessage message = new AcceptedMessage(
+                id,
+                className,
+                hasIdempotencyKey ? idempotencyKey : null,
+                orderKey,
+                destination,
+                validUntilPersistentUs,
+                body);
+        message.restoreAttempts(attempts, firstEffectPersistentUs, effectZone);
+        return message;
     }
 }
--- a/src/main/java/railspar/node/Log.java
+++ b/src/main/java/railspar/node/Log.java
@@ -5,10 +5,11 @@
 import java.util.Locale;
 
 /**
- * Standard error is the courier's log. One line for each thing that an operator should know, none for a message.
+ * The courier's log, on standard error. It has a line for each event that an operator should know of, and none for
+ * individual messages.
  *
- * <p>Each line begins with the wall clock in UTC and, in brackets, the seconds of the monotonic clock, which is the
- * same for all processes of a machine and shows the order of lines across a step of the wall clock.
+ * <p>Each line begins with the wall clock in UTC and, in brackets, the monotonic clock in seconds. The monotonic clock
+ * is the same for all processes of a machine and shows the order of lines even if the wall clock is stepped.
  */
 final class Log {
     private static final long MS_PER_SECOND = 1000;
@@ -17,16 +18,16 @@
     private Log() {}
 
     static void info(final String text) {
-        System.err.println(stamp() + text);
+        System.err.println(linePrefix() + text);
     }
 
-    /** Says what failed and why, with the trace: an unexpected exception is worth its lines. */
+    /** Logs what failed and why, with the stack trace; for unexpected exceptions. */
     static void failure(final String what, final Throwable cause) {
-        System.err.println(stamp() + what + ": " + cause);
+        System.err.println(linePrefix() + what + ": " + cause);
         cause.printStackTrace();
     }
 
-    private static String stamp() {
+    private static String linePrefix() {
         final long monotonicMs = System.nanoTime() / NS_PER_MS;
         return Instant.now().truncatedTo(ChronoUnit.MILLIS) + " ["
                 + monotonicMs / MS_PER_SECOND
--- a/src/main/java/railspar/node/MemoryBudget.java
+++ b/src/main/java/railspar/node/MemoryBudget.java
@@ -1,60 +1,56 @@
 package railspar.node;
 
 /**
- * What the messages that a courier holds may take of the heap, and what they take of it now. Each message is charged
- * from when it is taken on until nothing is owed for it. It bounds admission only: what is owed already, from a
- * journal or from a process that leaves, is charged even beyond the budget, and nothing new is admitted until enough
- * has ended.
+ * The heap limit for open messages, and the heap charged to them now. Each message is charged from its acceptance
+ * until it is complete. The budget limits admission only: messages from the journal or from a predecessor process are
+ * charged even beyond the limit, and no new message is admitted until enough of them have ended.
  */
 final class MemoryBudget {
     /**
-     * Heap for all that is not a held message: list, decisions on destinations, connections with their buffers and
-     * request bodies, and the garbage of a pass.
+     * Heap for everything except open messages: the list, the state kept per destination, connections with their
+     * buffers and request bodies, and the garbage of one event-loop pass.
      */
     private static final long RESERVE_BYTES = 16L << 20;
-    /** Share of the rest that messages may fill: the collector needs room to work in. */
+    /** Share of the remaining heap for messages: the garbage collector needs free heap to work. */
     private static final double MESSAGE_SHARE = 0.75;
     /**
-     * Heap that a held message takes beside its text: its objects, its entries in three maps, and what the decisions
-     * keep on it. By a histogram of 30,000 of them it is 505 bytes; a tenth is added.
+     * Heap per open message apart from its text and body: its objects, its entries in three maps, and the state that
+     * the delivery control keeps for it. That is 505 bytes in a heap histogram of 30,000 messages, plus a tenth.
      */
-    private static final long MESSAGE_BYTES = 560;
-    /**
-     * Share of the heap for what is learned of destinations at rest, within the reserve; heap that one of them takes
-     * with two endpoints, a little over the 966 bytes that the slope of the listed ones showed; and how many are
-     * always kept.
-     */
-    private static final double DESTINATION_SHARE = 0.125;
-
-    private static final long DESTINATION_BYTES = 1024;
-    private static final int LEAST_DESTINATIONS = 1024;
-    /** Heap that a text which a message may have or not takes beside its letters. */
-    private static final long TEXT_BYTES = 56;
+    private static final long MESSAGE_OVERHEAD_BYTES = 560;
+    /** Share of the heap for the learned state of idle destinations; part of the reserve. */
+    private static final double IDLE_DESTINATION_SHARE = 0.125;
+    /** Heap per idle destination with two endpoints: 966 bytes by the slope of listed destinations, rounded up. */
+    private static final long IDLE_DESTINATION_BYTES = 1024;
+    /** The learned state of this many idle destinations is always kept. */
+    private static final int MIN_IDLE_DESTINATIONS = 1024;
+    /** Heap overhead of an optional string of a message, apart from its characters. */
+    private static final long STRING_OVERHEAD_BYTES = 56;
 
     private final long heapBytes;
-    private final long mostBytes;
+    private final long maxCapacityBytes;
     private long capacityBytes;
     private long usedBytes;
 
-    private MemoryBudget(final long heapBytes, final long mostBytes) {
+    private MemoryBudget(final long heapBytes, final long maxCapacityBytes) {
         this.heapBytes = heapBytes;
-        this.mostBytes = mostBytes;
-        this.capacityBytes = mostBytes;
+        this.maxCapacityBytes = maxCapacityBytes;
+        this.capacityBytes = maxCapacityBytes;
     }
 
-    /** The budget under a heap of that size. */
+    /** The budget for a heap of the given size. */
     static MemoryBudget ofHeap(final long heapBytes) {
-        final long leftBytes = Math.max(heapBytes - RESERVE_BYTES, heapBytes / 2);
-        return new MemoryBudget(heapBytes, (long) (MESSAGE_SHARE * leftBytes));
+        final long remainingBytes = Math.max(heapBytes - RESERVE_BYTES, heapBytes / 2);
+        return new MemoryBudget(heapBytes, (long) (MESSAGE_SHARE * remainingBytes));
     }
 
-    /** Destinations at rest of which the decisions may remember what they learned, under a heap of that size. */
+    /** Number of idle destinations whose learned state may be kept, for a heap of the given size. */
     static int maxIdleDestinations(final long heapBytes) {
-        final long most = (long) (DESTINATION_SHARE * heapBytes / DESTINATION_BYTES);
-        return (int) Math.min(Integer.MAX_VALUE, Math.max(LEAST_DESTINATIONS, most));
+        final long destinations = (long) (IDLE_DESTINATION_SHARE * heapBytes / IDLE_DESTINATION_BYTES);
+        return (int) Math.min(Integer.MAX_VALUE, Math.max(MIN_IDLE_DESTINATIONS, destinations));
     }
 
-    /** A budget of so many bytes, whatever the heap. */
+    /** A budget of the given number of bytes, independent of the heap. */
     static MemoryBudget of(final long bytes) {
         return new MemoryBudget(Long.MAX_VALUE, bytes);
     }
@@ -64,9 +60,9 @@
         return of(Long.MAX_VALUE);
     }
 
-    /** Charges a message that a client hands in; false, and nothing charged, if that would go beyond the budget. */
-    boolean admit(final AcceptedMessage held) {
-        final long bytes = bytesOf(held);
+    /** Charges a submitted message; returns false and charges nothing if that would exceed the budget. */
+    boolean admit(final AcceptedMessage message) {
+        final long bytes = bytesOf(message);
         if (bytes > capacityBytes - usedBytes) {
             return false;
         }
@@ -74,42 +70,46 @@
         return true;
     }
 
-    /** Charges a message that is owed its end whether or not there is room for it. */
-    void charge(final AcceptedMessage held) {
-        usedBytes += bytesOf(held);
+    /** Charges a message that has already been accepted, even beyond the budget. */
+    void charge(final AcceptedMessage message) {
+        usedBytes += bytesOf(message);
     }
 
-    /** Nothing is owed for a message any more. */
-    void release(final AcceptedMessage held) {
-        usedBytes -= bytesOf(held);
+    /** Releases the charge of a message that is complete. */
+    void release(final AcceptedMessage message) {
+        usedBytes -= bytesOf(message);
     }
 
     /**
-     * A full collection has left so many bytes alive. What of it is not charged to messages is not theirs: where that
-     * is more than the reserve, as with a long list, it shortens the budget, until a later collection finds it
-     * smaller.
+     * Adjusts the budget to the live heap after a full collection. Live bytes that are not charged to messages belong
+     * to something else, such as a long list. Where they exceed the reserve they reduce the budget, until a later
+     * collection finds fewer of them.
      */
     void updateAfterCollection(final long liveBytes) {
-        final double leftBytes = (double) heapBytes - Math.max(0, liveBytes - usedBytes);
-        capacityBytes = (long) Math.min(mostBytes, Math.max(0, MESSAGE_SHARE * leftBytes));
+        final double remainingBytes = (double) heapBytes - Math.max(0, liveBytes - usedBytes);
+        capacityBytes = (long) Math.min(maxCapacityBytes, Math.max(0, MESSAGE_SHARE * remainingBytes));
     }
 
-    /** Heap that is charged for what is held. */
+    /** Heap charged to open messages. */
     long usedBytes() {
         return usedBytes;
     }
 
-    /** Heap that held messages may take. */
+    /** Heap that open messages may use. */
     long capacityBytes() {
         return capacityBytes;
     }
 
-    /** What a message is charged: the same when it comes and when it goes, as none of this changes in between. */
-    static long bytesOf(final AcceptedMessage held) {
-        return MESSAGE_BYTES + held.body.length + held.id.length() + text(held.idempotencyKey) + text(held.orderKey);
+    /** The charge of a message. It depends on fields that never change, so charge and release are equal. */
+    static long bytesOf(final AcceptedMessage message) {
+        return MESSAGE_OVERHEAD_BYTES
+                + message.body.length
+                + message.id.length()
+                + stringBytes(message.idempotencyKey)
+                + stringBytes(message.orderKey);
     }
 
-    private static long text(final String text) {
-        return text == null ? 0 : TEXT_BYTES + text.length();
+    private static long stringBytes(final String text) {
+        return text == null ? 0 : STRING_OVERHEAD_BYTES + text.length();
     }
 }
--- a/src/main/java/railspar/node/RecordFile.java
+++ b/src/main/java/railspar/node/RecordFile.java
@@ -5,38 +5,37 @@
 import java.nio.channels.FileChannel;
 
 /**
- * Appends {@link Records} to a file whose writes may fail before, in the midst of or after their effect. What a
- * failed write left is found out by reading it back, or cut off; nothing is written behind bytes whose state is
- * unknown.
+ * Appends {@link Records} to a file whose writes may fail before, during or after their effect. After a failed write
+ * the file is read back to see what was written, or truncated. Nothing is written after bytes whose state is unknown.
  */
 final class RecordFile implements AutoCloseable {
-    /** What became of an append. */
+    /** The result of an append. */
     enum AppendResult {
-        /** The next process reads the record. */
+        /** A restarted process reads the record. */
         WRITTEN,
-        /** The next process does not read the record. */
+        /** A restarted process does not read the record. */
         NOT_WRITTEN,
-        /** The write failed, and so did all that could tell or undo its effect. */
+        /** The write failed, and so did reading it back and truncating the file. */
         UNCERTAIN
     }
 
     private final FileChannel file;
     private long size;
-    /** Bytes of a failed write may lie behind the last record. */
+    /** Bytes of a failed write may follow the last record. */
     private boolean dirty;
 
-    /** A file that holds whole records up to that size. */
+    /** Appends to a file that contains complete records up to the given size. */
     RecordFile(final FileChannel file, final long size) {
         this.file = file;
         this.size = size;
     }
 
-    /** Bytes of whole records. */
+    /** Total size of the complete records, in bytes. */
     long size() {
         return size;
     }
 
-    /** Appends a record; the failure of a write is handed to the listener. */
+    /** Appends a record; failures are reported to the listener. */
     AppendResult append(final ByteBuffer record, final FailureListener failures) {
         if (!truncateFailedWrite(failures)) {
             return AppendResult.NOT_WRITTEN;
@@ -46,20 +45,20 @@
         } catch (final IOException e) {
             failures.failed(e);
             dirty = true;
-            return afterFailure(record, failures);
+            return resultAfterFailure(record, failures);
         }
         size += record.capacity();
         return AppendResult.WRITTEN;
     }
 
-    /** Hears of each failure of the file. */
+    /** Receives each I/O failure of the file. */
     interface FailureListener {
         void failed(IOException cause);
     }
 
-    private AppendResult afterFailure(final ByteBuffer record, final FailureListener failures) {
+    private AppendResult resultAfterFailure(final ByteBuffer record, final FailureListener failures) {
         try {
-            if (holds(record)) {
+            if (containsAtEnd(record)) {
                 size += record.capacity();
                 dirty = false;
                 return AppendResult.WRITTEN;
@@ -70,8 +69,8 @@
         }
     }
 
-    /** True if the record stands whole behind the others. */
-    private boolean holds(final ByteBuffer record) throws IOException {
+    /** True if the complete record follows the earlier ones in the file. */
+    private boolean containsAtEnd(final ByteBuffer record) throws IOException {
         final ByteBuffer found = ByteBuffer.allocate(record.capacity());
         while (found.hasRemaining()) {
             if (file.read(found, size + found.position()) < 0) {
@@ -81,7 +80,7 @@
         return found.flip().equals(record.duplicate().rewind());
     }
 
-    /** Cuts off what a failed write left; true if nothing of that kind is left. */
+    /** Truncates the file to its complete records after a failed write; true if nothing of that write is left. */
     boolean truncateFailedWrite(final FailureListener failures) {
         if (dirty) {
             try {
--- a/src/main/java/railspar/node/Records.java
+++ b/src/main/java/railspar/node/Records.java
@@ -10,25 +10,25 @@
 import java.util.zip.CRC32C;
 
 /**
- * How records lie in the files that outlast a process: each with its length and CRC32C ahead, then its type and the
- * id that it is about. What a kill cut off at the end of a file is no record.
+ * The record format of the files that outlast a process: a header with length and CRC32C, then the record type, the
+ * id that the record is about, and the content. An incomplete record at the end of a file, left by a kill, is ignored.
  */
 final class Records {
-    private static final int HEAD_BYTES = 2 * Integer.BYTES;
-    private static final int MOST_BYTES = 1 << 17;
-    /** A file is read in slices of this size; the longest record fits into one. */
-    private static final int SLICE_BYTES = 2 * MOST_BYTES;
+    private static final int HEADER_BYTES = 2 * Integer.BYTES;
+    private static final int MAX_RECORD_BYTES = 1 << 17;
+    /** A file is read through a buffer of this size; the longest record fits into it. */
+    private static final int BUFFER_BYTES = 2 * MAX_RECORD_BYTES;
 
     private Records() {}
 
-    /** Writes the rest of a record. */
+    /** Writes the content of a record. */
     interface Content {
         void write(DataOutputStream out) throws IOException;
     }
 
-    /** Takes up a record; the type comes first, then the id. */
+    /** Receives each record that is read: type, id and content. */
     interface Reader {
-        void read(byte type, String id, DataInputStream rest) throws IOException;
+        void read(byte type, String id, DataInputStream content) throws IOException;
     }
 
     static ByteBuffer encode(final byte type, final String id, final Content content) {
@@ -43,8 +43,8 @@
         }
         final ByteBuffer record = ByteBuffer.wrap(bytes.toByteArray());
         final CRC32C crc = new CRC32C();
-        crc.update(record.array(), HEAD_BYTES, record.capacity() - HEAD_BYTES);
-        record.putInt(0, record.capacity() - HEAD_BYTES).putInt(Integer.BYTES, (int) crc.getValue());
+        crc.update(record.array(), HEADER_BYTES, record.capacity() - HEADER_BYTES);
+        record.putInt(0, record.capacity() - HEADER_BYTES).putInt(Integer.BYTES, (int) crc.getValue());
         return record;
     }
 
@@ -53,70 +53,68 @@
         while (record.hasRemaining()) {
             final int count = to.write(record, position);
             if (count <= 0) {
-                throw new IOException("the file takes no bytes");
+                throw new IOException("a write to the file wrote no bytes");
             }
             position += count;
         }
     }
 
-    /** Reads the whole records of a file from a position on; the result is the position behind the last one. */
+    /** Reads the complete records of a file from a position on; returns the position after the last one. */
     static long read(final FileChannel file, final long from, final Reader reader) throws IOException {
         return read(file, from, file.size(), reader);
     }
 
     /**
-     * As above, up to a position where a record ends. The file is read slice by slice, so the memory this takes does
-     * not grow with the file.
+     * As above, up to a position where a record ends. The file is read through a buffer of bounded size, so the memory
+     * use does not grow with the file.
      */
     static long read(final FileChannel file, final long from, final long to, final Reader reader) throws IOException {
-        final ByteBuffer slice = ByteBuffer.allocate((int) Math.max(0, Math.min(SLICE_BYTES, to - from)));
+        final ByteBuffer buffer = ByteBuffer.allocate((int) Math.max(0, Math.min(BUFFER_BYTES, to - from)));
         long filledTo = from;
         long position = from;
-        boolean more = slice.capacity() > 0;
-        while (more) {
-            filledTo += fill(slice, file, filledTo, to);
-            slice.flip();
-            final int records = readWhole(slice, reader);
-            position += records;
-            // A slice that ends inside a record is refilled behind the part that is here; one without any is the end.
-            slice.compact();
-            more = records > 0 && filledTo < to;
+        boolean hasMore = buffer.capacity() > 0;
+        while (hasMore) {
+            filledTo += fill(buffer, file, filledTo, to);
+            buffer.flip();
+            final int recordBytes = readCompleteRecords(buffer, reader);
+            position += recordBytes;
+            // A partial record is kept and the buffer is refilled after it; without a complete record reading ends.
+            buffer.compact();
+            hasMore = recordBytes > 0 && filledTo < to;
         }
         return position;
     }
 
-    /**
-     * Fills a slice from a position of the file on, but not beyond the end; the result is how many bytes that were.
-     */
-    private static int fill(final ByteBuffer slice, final FileChannel file, final long at, final long to)
+    /** Fills the buffer from a position of the file on, but not beyond the end; returns the number of bytes read. */
+    private static int fill(final ByteBuffer buffer, final FileChannel file, final long at, final long to)
             throws IOException {
-        final int before = slice.position();
-        slice.limit((int) Math.min(slice.capacity(), before + (to - at)));
+        final int before = buffer.position();
+        buffer.limit((int) Math.min(buffer.capacity(), before + (to - at)));
         int count = 0;
-        while (slice.hasRemaining() && count >= 0) {
-            count = file.read(slice, at + slice.position() - before);
+        while (buffer.hasRemaining() && count >= 0) {
+            count = file.read(buffer, at + buffer.position() - before);
         }
-        return slice.position() - before;
+        return buffer.position() - before;
     }
 
-    /** Reads the records that a slice holds whole; the result is their length, and the position is behind them. */
-    private static int readWhole(final ByteBuffer slice, final Reader reader) throws IOException {
-        final int begin = slice.position();
-        while (slice.remaining() >= HEAD_BYTES) {
-            final int length = slice.getInt(slice.position());
-            final int start = slice.position() + HEAD_BYTES;
-            if (length <= 0 || length > MOST_BYTES || length > slice.limit() - start) {
+    /** Reads the complete records in the buffer, moves its position past them, and returns their length in bytes. */
+    private static int readCompleteRecords(final ByteBuffer buffer, final Reader reader) throws IOException {
+        final int begin = buffer.position();
+        while (buffer.remaining() >= HEADER_BYTES) {
+            final int length = buffer.getInt(buffer.position());
+            final int start = buffer.position() + HEADER_BYTES;
+            if (length <= 0 || length > MAX_RECORD_BYTES || length > buffer.limit() - start) {
                 break;
             }
             final CRC32C crc = new CRC32C();
-            crc.update(slice.array(), start, length);
-            if ((int) crc.getValue() != slice.getInt(slice.position() + Integer.BYTES)) {
+            crc.update(buffer.array(), start, length);
+            if ((int) crc.getValue() != buffer.getInt(buffer.position() + Integer.BYTES)) {
                 break;
             }
-            final DataInputStream in = new DataInputStream(new ByteArrayInputStream(slice.array(), start, length));
+            final DataInputStream in = new DataInputStream(new ByteArrayInputStream(buffer.array(), start, length));
             reader.read(in.readByte(), in.readUTF(), in);
-            slice.position(start + length);
+            buffer.position(start + length);
         }
-        return slice.position() - begin;
+        return buffer.position() - begin;
     }
 }
