--- a/src/test/java/railspar/node/ClockFileTest.java
+++ b/src/test/java/railspar/node/ClockFileTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Persistent time across processes, steps of the wall clock and boots of the machine. */
+/** Guards that persistent time continues across processes and wall-clock steps, and is set anew after a reboot. */
 final class ClockFileTest {
     private static final long HOUR_MS = 3_600_000;
     private static final long US_PER_MS = 1000;
@@ -23,34 +23,34 @@
     private long monotonicMs = 5_000;
     private long wallMs = WALL_MS;
 
-    private Clock process(final String bootId) throws IOException {
+    private Clock startProcess(final String bootId) throws IOException {
         final Clock clock = new Clock(() -> monotonicMs * NS_PER_MS, () -> wallMs);
         new ClockFile(folder, bootId).apply(clock);
         return clock;
     }
 
-    private void pass(final long ms) {
+    private void advance(final long ms) {
         monotonicMs += ms;
         wallMs += ms;
     }
 
     @ParameterizedTest
     @ValueSource(longs = {0, HOUR_MS, -HOUR_MS, 3000, -3000, 24 * HOUR_MS, -24 * HOUR_MS})
-    void aDeadlineIsASpanOfRealTimeThoughTheWallClockIsSteppedWhileNoProcessRuns(final long stepMs) throws IOException {
-        final long deadlineUs = process("boot").persistentUs() + 25_000 * US_PER_MS;
-        pass(600);
+    void deadlinesAreUnaffectedByAWallClockStepWhileNoProcessRuns(final long stepMs) throws IOException {
+        final long deadlineUs = startProcess("boot").persistentUs() + 25_000 * US_PER_MS;
+        advance(600);
         wallMs += stepMs;
-        final Clock next = process("boot");
+        final Clock next = startProcess("boot");
         assertEquals(24_400 * US_PER_MS, next.fromPersistentUs(deadlineUs) - next.nowUs());
     }
 
     @Test
-    void aStepWhileTheProcessRunsMovesNothing() throws IOException {
-        final Clock clock = process("boot");
+    void aWallClockStepWhileTheProcessRunsHasNoEffect() throws IOException {
+        final Clock clock = startProcess("boot");
         final long nowUs = clock.nowUs();
         final long persistentUs = clock.persistentUs();
         wallMs -= HOUR_MS;
-        pass(1);
+        advance(1);
         assertEquals(nowUs + US_PER_MS, clock.nowUs());
         assertEquals(persistentUs + US_PER_MS, clock.persistentUs());
         assertEquals(nowUs, clock.fromPersistentUs(persistentUs));
@@ -58,32 +58,33 @@
     }
 
     @Test
-    void afterAnotherBootItGoesByTheWallClock() throws IOException {
-        process("boot");
-        pass(HOUR_MS);
+    void afterARebootPersistentTimeIsSetToTheWallClock() throws IOException {
+        startProcess("boot");
+        advance(HOUR_MS);
         monotonicMs = 10;
-        assertEquals(wallMs * US_PER_MS, process("other").persistentUs());
-        pass(1000);
+        assertEquals(wallMs * US_PER_MS, startProcess("other").persistentUs());
+        advance(1000);
         wallMs += HOUR_MS;
-        assertEquals((wallMs - HOUR_MS) * US_PER_MS, process("other").persistentUs(), "the new boot's offset is kept");
+        assertEquals(
+                (wallMs - HOUR_MS) * US_PER_MS, startProcess("other").persistentUs(), "the new boot's offset is kept");
     }
 
     @Test
-    void aMonotonicClockThatBeganAnewIsNotTheOneOfTheFile() throws IOException {
-        process("boot");
-        pass(HOUR_MS);
+    void aResetMonotonicClockInvalidatesTheFile() throws IOException {
+        startProcess("boot");
+        advance(HOUR_MS);
         monotonicMs = 10;
-        assertEquals(wallMs * US_PER_MS, process("boot").persistentUs());
+        assertEquals(wallMs * US_PER_MS, startProcess("boot").persistentUs());
     }
 
     @Test
-    void aTornFileIsAsNone() throws IOException {
-        process("boot");
+    void anIncompleteFileIsIgnored() throws IOException {
+        startProcess("boot");
         final Path file = folder.resolve("clock");
-        final byte[] whole = Files.readAllBytes(file);
-        for (int length = 0; length < whole.length; length++) {
-            Files.write(file, java.util.Arrays.copyOf(whole, length));
-            assertEquals(wallMs * US_PER_MS, process("boot").persistentUs());
+        final byte[] content = Files.readAllBytes(file);
+        for (int length = 0; length < content.length; length++) {
+            Files.write(file, java.util.Arrays.copyOf(content, length));
+            assertEquals(wallMs * US_PER_MS, startProcess("boot").persistentUs());
         }
     }
 }
--- a/src/test/java/railspar/node/CountingFileChannel.java
+++ b/src/test/java/railspar/node/CountingFileChannel.java
@@ -8,7 +8,7 @@
 import java.nio.channels.ReadableByteChannel;
 import java.nio.channels.WritableByteChannel;
 
-/** A file that counts how it is read by position; nothing else is supported. */
+/** A file channel that records the positional reads; no other operation is supported. */
 final class CountingFileChannel extends FileChannel {
     private final FileChannel file;
     private int largestRead;
@@ -18,7 +18,7 @@
         this.file = file;
     }
 
-    /** The most bytes that one read had room for. */
+    /** The largest number of bytes requested by a single read. */
     int largestRead() {
         return largestRead;
     }
@@ -112,6 +112,6 @@
 
     @Override
     protected void implCloseChannel() {
-        // The file is closed by whoever opened it.
+        // The wrapped file is closed by its owner.
     }
 }
--- a/src/test/java/railspar/node/FolderFaultsTest.java
+++ b/src/test/java/railspar/node/FolderFaultsTest.java
@@ -16,11 +16,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import railspar.node.FaultPage.Fault;
 
-/** A real courier whose state folder, sockets or wall clock fail, at a start and while it runs. */
+/** A real courier whose state folder, sockets or wall clock fail at startup or while it runs. */
 final class FolderFaultsTest extends AbstractCourierProcessTest {
     private static final int HOUR_S = 3600;
-    private static final int EACH = 40;
-    /** How long a fault lasts after it has been seen. */
+    private static final int MESSAGE_COUNT = 40;
+    /** How long a startup fault lasts. */
     private static final long FAULT_MS = 1500;
 
     @BeforeEach
@@ -31,10 +31,10 @@
         fixture.maxOpen = 200;
     }
 
-    /** Has the courier take messages on that no endpoint answers. */
-    private List<String> takeOn(final String prefix, final int timeoutMs) throws IOException {
+    /** Submits messages that the courier accepts; the endpoint must be draining, so that none is delivered. */
+    private List<String> submitMessages(final String prefix, final int timeoutMs) throws IOException {
         final List<String> ids = new ArrayList<>();
-        for (int count = 0; count < EACH; count++) {
+        for (int count = 0; count < MESSAGE_COUNT; count++) {
             final String id = prefix + count;
             final String message = CourierProcessFixture.message(id, "safe")
                     .replace("X-Timeout-Ms: 20000", "X-Timeout-Ms: " + timeoutMs);
@@ -44,26 +44,26 @@
         return ids;
     }
 
-    private void awaitLog(final String words) {
-        fixture.await(words, () -> fixture.log.stream().anyMatch(line -> line.contains(words)));
+    private void awaitLog(final String text) {
+        fixture.await(text, () -> fixture.log.stream().anyMatch(line -> line.contains(text)));
     }
 
     @ParameterizedTest
     @EnumSource(
             value = Fault.class,
             names = {"OPEN_ERRNO", "READ_ERRNO", "WRITE_ERRNO", "RENAME_ERRNO", "TRUNCATE_ERRNO", "UNLINK_ERRNO"})
-    void aStartWaitsUntilTheFolderCanBeUsedAndLosesNothing(final Fault fault) throws Exception {
+    void startupWaitsForTheStateFolderAndLosesNoMessage(final Fault fault) throws Exception {
         fixture.firstWatchLine =
                 CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating"));
         fixture.start();
-        final List<String> ids = takeOn("m", 20_000);
+        final List<String> ids = submitMessages("m", 20_000);
         fixture.kill();
         fixture.firstWatchLine =
                 CourierProcessFixture.listLine(43, CourierProcessFixture.hostEntry("e1", fixture.first, "Ready"));
         fixture.faults.set(fault, FaultPage.EIO).set(Fault.WRITE_EFFECT, FaultPage.NO_BYTES);
         final Process process = fixture.launch();
         TimeUnit.MILLISECONDS.sleep(FAULT_MS);
-        assertTrue(process.isAlive(), "it ended: " + fixture.log);
+        assertTrue(process.isAlive(), "the process ended: " + fixture.log);
         fixture.faults.clear();
         fixture.await("a call for each", () -> Set.copyOf(fixture.first.ids()).containsAll(ids));
     }
@@ -72,22 +72,22 @@
     @EnumSource(
             value = Fault.class,
             names = {"SOCKET_ERRNO", "BIND_ERRNO", "CONNECT_ERRNO"})
-    void aStartWaitsUntilItCanListen(final Fault fault) throws Exception {
+    void startupWaitsUntilItCanListen(final Fault fault) throws Exception {
         fixture.faults.set(fault, fault == Fault.BIND_ERRNO ? FaultPage.EADDRINUSE : FaultPage.EMFILE);
         final Process process = fixture.launch();
         TimeUnit.MILLISECONDS.sleep(FAULT_MS);
-        assertTrue(process.isAlive(), "it ended: " + fixture.log);
+        assertTrue(process.isAlive(), "the process ended: " + fixture.log);
         fixture.faults.clear();
         awaitLog("is ready at");
     }
 
     @ParameterizedTest
     @ValueSource(ints = {HOUR_S, -HOUR_S})
-    void messagesKeepTheirTimeThoughTheWallClockIsSteppedWhileNoProcessRuns(final int stepS) throws Exception {
+    void messagesKeepTheirDeadlineAcrossAWallClockStepBetweenProcesses(final int stepS) throws Exception {
         fixture.firstWatchLine =
                 CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating"));
         fixture.start();
-        final List<String> ids = takeOn("m", 20_000);
+        final List<String> ids = submitMessages("m", 20_000);
         fixture.kill();
         fixture.faults.set(Fault.CLOCK_STEP_S, stepS);
         fixture.firstWatchLine =
@@ -99,23 +99,23 @@
 
     @ParameterizedTest
     @ValueSource(ints = {HOUR_S, -HOUR_S})
-    void messagesEndInTimeThoughTheWallClockIsSteppedWhileNoProcessRuns(final int stepS) throws Exception {
+    void messagesExpireOnTimeAfterAWallClockStepBetweenProcesses(final int stepS) throws Exception {
         fixture.firstWatchLine =
                 CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating"));
         fixture.start();
-        final List<String> ids = takeOn("m", 6_000);
-        final long takenNs = System.nanoTime();
+        final List<String> ids = submitMessages("m", 6_000);
+        final long acceptedNs = System.nanoTime();
         fixture.kill();
         fixture.faults.set(Fault.CLOCK_STEP_S, stepS);
         fixture.start();
         fixture.await("a notice for each", () -> ids.stream().allMatch(id -> fixture.hasNotice(id, "\"status\"")));
-        final long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - takenNs);
-        assertTrue(tookMs < 6_300, "told after " + tookMs + " ms");
-        assertTrue(tookMs > 3_000, "given up after " + tookMs + " ms");
+        final long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - acceptedNs);
+        assertTrue(tookMs < 6_300, "too late: notices after " + tookMs + " ms");
+        assertTrue(tookMs > 3_000, "too early: notices after " + tookMs + " ms");
     }
 
     @Test
-    void whatWasRefusedAsItsWriteFailedIsNotSentByTheNextProcess() throws Exception {
+    void aMessageRejectedAfterAFailedWriteIsNotSentAfterARestart() throws Exception {
         fixture.firstWatchLine =
                 CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating"));
         fixture.start();
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void nothingIsPromisedWhereNeitherWritingNorReadingNorCuttingWorks() throws Exception {
+    void noMessageIsAcceptedWhileWriteReadAndTruncateFail() throws Exception {
         fixture.start();
         fixture.faults
                 .set(Fault.WRITE_EFFECT, FaultPage.ALL_BYTES)
@@ -153,10 +153,10 @@
 
     @ParameterizedTest
     @ValueSource(longs = {0, 1})
-    void whatIsTakenOnAfterACompactionThatCouldNotRenameItsFileOutlastsAKill(final long tookEffect) throws Exception {
+    void messagesAcceptedAfterAFailedCompactionRenameSurviveAKill(final long renameTookEffect) throws Exception {
         fixture.diskMb = 1;
         fixture.start();
-        fixture.faults.set(Fault.RENAME_EFFECT, tookEffect).set(Fault.RENAME_ERRNO, FaultPage.EIO);
+        fixture.faults.set(Fault.RENAME_EFFECT, renameTookEffect).set(Fault.RENAME_ERRNO, FaultPage.EIO);
         final String body = "x".repeat(8000);
         final List<String> accepted = new ArrayList<>();
         for (int count = 0; count < 100; count++) {
@@ -174,31 +174,31 @@
         fixture.await("its first call", () -> fixture.first.ids().contains("kept"));
         fixture.kill();
         fixture.first.script((request, connection) -> connection.accept(request));
-        final int before = fixture.first.ids().size();
+        final int callsBefore = fixture.first.ids().size();
         fixture.start();
         fixture.await(
-                "its next call", () -> fixture.first.ids().stream().skip(before).anyMatch("kept"::equals));
+                "its next call",
+                () -> fixture.first.ids().stream().skip(callsBefore).anyMatch("kept"::equals));
     }
 
     @Test
-    void anEndThatCannotBeRecordedIsToldInTimeAllTheSame() throws Exception {
+    void noticesAreSentOnTimeEvenIfTheOutcomeCannotBeRecorded() throws Exception {
         fixture.firstWatchLine =
                 CourierProcessFixture.listLine(42, CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating"));
         fixture.start();
-        final long takenNs = System.nanoTime();
-        final List<String> ids = takeOn("m", 3_000);
+        final long acceptedNs = System.nanoTime();
+        final List<String> ids = submitMessages("m", 3_000);
         fixture.faults.set(Fault.WRITE_ERRNO, FaultPage.EIO);
         fixture.await("a notice for each", () -> ids.stream().allMatch(id -> fixture.hasNotice(id, "\"status\"")));
-        final long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - takenNs);
-        assertTrue(tookMs < 3_300, "told after " + tookMs + " ms");
+        final long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - acceptedNs);
+        assertTrue(tookMs < 3_300, "too late: notices after " + tookMs + " ms");
     }
 
     @ParameterizedTest
     @EnumSource(
             value = Fault.class,
             names = {"OPEN_ERRNO", "WRITE_ERRNO", "RENAME_ERRNO"})
-    void aDrainThatCameWhileTheFolderFailedIsKnownToTheNextProcessThoughDiscoveryIsDown(final Fault fault)
-            throws Exception {
+    void aDrainReceivedWhileTheFolderFailedIsKnownAfterARestartWithoutDiscovery(final Fault fault) throws Exception {
         fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + ","
                 + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
         fixture.start();
@@ -218,14 +218,14 @@
     }
 
     @Test
-    void aConfigurationThatIsWholeOnlyAfterItsSignalIsRead() throws Exception {
+    void aConfigurationCompletedAfterItsSignalIsLoaded() throws Exception {
         fixture.start();
         fixture.reloadTruncatedConfig();
         awaitLog("reload: kept what was known before");
-        final int watches = fixture.watches.size();
-        try (FakeServer moved = new FakeServer(fixture::answerPlatformRequest)) {
-            fixture.writeConfig(moved);
-            fixture.await("the watch at the new address", () -> fixture.watches.size() > watches);
+        final int watchesBefore = fixture.watches.size();
+        try (FakeServer newPlatform = new FakeServer(fixture::answerPlatformRequest)) {
+            fixture.writeConfig(newPlatform);
+            fixture.await("the watch at the new address", () -> fixture.watches.size() > watchesBefore);
         }
     }
 }
--- a/src/test/java/railspar/node/GcMonitorTest.java
+++ b/src/test/java/railspar/node/GcMonitorTest.java
@@ -7,50 +7,50 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What the virtual machine tells of its collections gets to the budget. */
+/** Guards that the budget learns the live heap after full collections, and that the MXBeans are loaded late. */
 final class GcMonitorTest {
     private static final int HEAP_BYTES = 1 << 20;
 
-    private static AcceptedMessage held(final long bytes) {
+    private static AcceptedMessage message(final long bytes) {
         return new AcceptedMessage("id", "safe", null, null, 7, 0, new byte[(int) bytes]);
     }
 
     @Test
-    void whatAFullCollectionLeavesAliveShortensTheBudget() {
+    void liveHeapAfterAFullCollectionReducesTheBudget() {
         final MemoryBudget budget = MemoryBudget.ofHeap(HEAP_BYTES);
-        budget.charge(held(budget.capacityBytes() / 4));
-        final GcMonitor watch = new GcMonitor(budget);
+        budget.charge(message(budget.capacityBytes() / 4));
+        final GcMonitor monitor = new GcMonitor(budget);
         System.gc();
-        watch.checkForCollection();
-        assertEquals(0, budget.capacityBytes(), "this process holds more than so small a heap");
+        monitor.checkForCollection();
+        assertEquals(0, budget.capacityBytes(), "the live data of this process exceeds so small a heap");
     }
 
     @Test
-    void nothingIsLoadedWhileLittleIsHeld() {
+    void beansAreNotLoadedWhileLittleOfTheBudgetIsUsed() {
         final MemoryBudget budget = MemoryBudget.ofHeap(HEAP_BYTES);
         final long capacity = budget.capacityBytes();
         final int[] loads = new int[1];
-        final GcMonitor watch = new GcMonitor(budget, () -> {
+        final GcMonitor monitor = new GcMonitor(budget, () -> {
             loads[0]++;
             return ManagementFactory.getMemoryPoolMXBeans();
         });
         System.gc();
-        watch.checkForCollection();
+        monitor.checkForCollection();
         assertEquals(0, loads[0]);
-        final AcceptedMessage large = held(capacity / 4);
+        final AcceptedMessage large = message(capacity / 4);
         budget.charge(large);
-        watch.checkForCollection();
+        monitor.checkForCollection();
         assertEquals(0, budget.capacityBytes());
         budget.release(large);
-        watch.checkForCollection();
-        assertEquals(1, loads[0], "once is enough");
+        monitor.checkForCollection();
+        assertEquals(1, loads[0], "the beans are loaded only once");
     }
 
     @Test
-    void aVirtualMachineThatTellsNothingLeavesTheBudgetAsItIs() {
+    void theBudgetIsUnchangedWithoutMemoryPools() {
         final MemoryBudget budget = MemoryBudget.ofHeap(HEAP_BYTES);
         final long capacity = budget.capacityBytes();
-        budget.charge(held(capacity));
+        budget.charge(message(capacity));
         assertTrue(budget.usedBytes() > capacity);
         new GcMonitor(budget, List::of).checkForCollection();
         assertEquals(capacity, budget.capacityBytes());
--- a/src/test/java/railspar/node/JournalTest.java
+++ b/src/test/java/railspar/node/JournalTest.java
@@ -16,20 +16,23 @@
 import org.junit.jupiter.api.io.TempDir;
 import railspar.Courier;
 
-/** What outlasts the process, and what a kill in the middle of a write leaves of it. */
+/**
+ * Guards that open messages survive a restart, that a kill during a write loses only the incomplete record, and that
+ * the disk and memory limits are kept.
+ */
 final class JournalTest {
     private static final long DISK_BYTES = 100_000;
 
     @TempDir
     private Path folder;
 
-    private static AcceptedMessage held(final String id, final int bytes) {
+    private static AcceptedMessage message(final String id, final int bytes) {
         return new AcceptedMessage(id, "keyed", "key-" + id, null, 7, 5_000_000, new byte[bytes]);
     }
 
-    /** True if the journal takes that message on. */
-    static boolean takes(final Journal journal, final AcceptedMessage held) {
-        return journal.accept(held) == Journal.Admission.ACCEPTED;
+    /** True if the journal accepts the message. */
+    static boolean accepts(final Journal journal, final AcceptedMessage message) {
+        return journal.accept(message) == Journal.Admission.ACCEPTED;
     }
 
     private List<AcceptedMessage> reopened() throws IOException {
@@ -39,143 +42,153 @@
     }
 
     @Test
-    void keepsWhatIsOwedAndForgetsWhatIsOver() throws IOException {
+    void openMessagesSurviveReopeningAndCompletedOnesDoNot() throws IOException {
         try (Journal journal = Journal.open(folder, DISK_BYTES)) {
             final AcceptedMessage sent =
                     new AcceptedMessage("sent", "keyed", "k", "team-1", 7, 5_000_000, new byte[] {1, 2, 3});
-            final AcceptedMessage over = held("over", 3);
-            final AcceptedMessage ended = held("ended", 3);
-            Stream.of(sent, over, ended).forEach(one -> assertTrue(takes(journal, one)));
+            final AcceptedMessage completed = message("over", 3);
+            final AcceptedMessage withNotice = message("ended", 3);
+            Stream.of(sent, completed, withNotice).forEach(message -> assertTrue(accepts(journal, message)));
             assertTrue(journal.beginAttempt(sent, 1000, "a"));
             journal.endAttempt(sent, true);
             assertTrue(journal.beginAttempt(sent, 2000, "b"));
-            journal.complete(over);
-            journal.recordNotice(ended, new AcceptedMessage.Notice(false, 700));
+            journal.complete(completed);
+            journal.recordNotice(withNotice, new AcceptedMessage.Notice(false, 700));
         }
-        final List<AcceptedMessage> live = reopened();
-        assertEquals(List.of("sent", "ended"), live.stream().map(one -> one.id).toList());
-        final AcceptedMessage sent = live.get(0);
+        final List<AcceptedMessage> messages = reopened();
+        assertEquals(
+                List.of("sent", "ended"),
+                messages.stream().map(message -> message.id).toList());
+        final AcceptedMessage sent = messages.get(0);
         assertArrayEquals(new byte[] {1, 2, 3}, sent.body);
         assertEquals("k", sent.idempotencyKey);
-        assertEquals("team-1", sent.orderKey, "its order outlasts the process");
+        assertEquals("team-1", sent.orderKey, "the order key survives a restart");
         final Clock clock = new Clock();
-        final Courier.AttemptHistory past = sent.historyAfterInterruption(clock);
-        assertEquals(2, past.attempts());
-        assertTrue(past.mayHaveTakenEffect(), "the attempt that was out may have run");
-        assertEquals("b", past.effectZone());
+        final Courier.AttemptHistory history = sent.historyAfterInterruption(clock);
+        assertEquals(2, history.attempts());
+        assertTrue(history.mayHaveTakenEffect(), "the attempt in flight may have taken effect");
+        assertEquals("b", history.effectZone());
         assertEquals(
-                2000, clock.toPersistentUs(past.firstEffectUs()), 50_000, "the refused attempt before does not count");
-        assertEquals(new AcceptedMessage.Notice(false, 700), live.get(1).notice());
+                2000,
+                clock.toPersistentUs(history.firstEffectUs()),
+                50_000,
+                "the earlier, refused attempt does not count");
+        assertEquals(new AcceptedMessage.Notice(false, 700), messages.get(1).notice());
     }
 
     @Test
-    void aTornTailIsCutAndWhatStandsBeforeItIsKept() throws IOException {
+    void anIncompleteLastRecordIsTruncatedAndEarlierOnesAreKept() throws IOException {
         try (Journal journal = Journal.open(folder, DISK_BYTES)) {
-            assertTrue(takes(journal, held("whole", 50)));
-            assertTrue(takes(journal, held("torn", 50)));
+            assertTrue(accepts(journal, message("whole", 50)));
+            assertTrue(accepts(journal, message("torn", 50)));
         }
         final Path file = folder.resolve("journal");
-        final byte[] all = Files.readAllBytes(file);
-        for (int cut = 1; cut < 60; cut++) {
-            Files.write(file, Arrays.copyOf(all, all.length - cut));
+        final byte[] content = Files.readAllBytes(file);
+        for (int cutBytes = 1; cutBytes < 60; cutBytes++) {
+            Files.write(file, Arrays.copyOf(content, content.length - cutBytes));
             assertEquals(
-                    List.of("whole"), reopened().stream().map(one -> one.id).toList());
+                    List.of("whole"),
+                    reopened().stream().map(message -> message.id).toList());
         }
         try (Journal journal = Journal.open(folder, DISK_BYTES)) {
-            assertTrue(takes(journal, held("next", 50)));
+            assertTrue(accepts(journal, message("next", 50)));
         }
         assertEquals(
-                List.of("whole", "next"), reopened().stream().map(one -> one.id).toList());
+                List.of("whole", "next"),
+                reopened().stream().map(message -> message.id).toList());
     }
 
     @Test
-    void aRecordThatDoesNotMatchItsSumIsTheEnd() throws IOException {
+    void readingEndsAtARecordWithAWrongChecksum() throws IOException {
         try (Journal journal = Journal.open(folder, DISK_BYTES)) {
-            assertTrue(takes(journal, held("whole", 50)));
-            assertTrue(takes(journal, held("spoilt", 50)));
+            assertTrue(accepts(journal, message("whole", 50)));
+            assertTrue(accepts(journal, message("spoilt", 50)));
         }
         final Path file = folder.resolve("journal");
-        final byte[] all = Files.readAllBytes(file);
-        all[all.length - 30] ^= 1;
-        Files.write(file, all);
-        assertEquals(List.of("whole"), reopened().stream().map(one -> one.id).toList());
+        final byte[] content = Files.readAllBytes(file);
+        content[content.length - 30] ^= 1;
+        Files.write(file, content);
+        assertEquals(
+                List.of("whole"), reopened().stream().map(message -> message.id).toList());
     }
 
     @Test
-    void staysInsideItsDiskHoweverLongItRuns() throws IOException {
+    void filesStayWithinTheDiskLimitOverManyMessages() throws IOException {
         try (Journal journal = Journal.open(folder, DISK_BYTES)) {
-            final AcceptedMessage staying = held("staying", 500);
-            assertTrue(takes(journal, staying));
-            assertTrue(journal.beginAttempt(staying, 3000, "a"));
+            final AcceptedMessage longLived = message("staying", 500);
+            assertTrue(accepts(journal, longLived));
+            assertTrue(journal.beginAttempt(longLived, 3000, "a"));
             for (int round = 0; round < 2000; round++) {
-                final AcceptedMessage passing = held("m" + round, 200);
-                assertTrue(takes(journal, passing));
-                assertTrue(journal.beginAttempt(passing, round, "a"));
-                journal.endAttempt(passing, false);
-                journal.complete(passing);
-                assertTrue(used() < DISK_BYTES / 2, "used: " + used());
+                final AcceptedMessage shortLived = message("m" + round, 200);
+                assertTrue(accepts(journal, shortLived));
+                assertTrue(journal.beginAttempt(shortLived, round, "a"));
+                journal.endAttempt(shortLived, false);
+                journal.complete(shortLived);
+                assertTrue(bytesOnDisk() < DISK_BYTES / 2, "used: " + bytesOnDisk());
             }
         }
-        final List<AcceptedMessage> live = reopened();
-        assertEquals(List.of("staying"), live.stream().map(one -> one.id).toList());
-        assertTrue(live.get(0).hasAttemptInFlight(), "a compaction keeps the attempt that is out");
+        final List<AcceptedMessage> messages = reopened();
+        assertEquals(
+                List.of("staying"), messages.stream().map(message -> message.id).toList());
+        assertTrue(messages.get(0).hasAttemptInFlight(), "a compaction keeps the attempt in flight");
     }
 
     @Test
-    void takesNothingOnWhenItIsFullButStillRecordsEnds() throws IOException {
+    void aFullJournalRejectsMessagesButStillRecordsOutcomes() throws IOException {
         try (Journal journal = Journal.open(folder, DISK_BYTES)) {
-            int taken = 0;
-            while (taken < 1000 && takes(journal, held("m" + taken, 1000))) {
-                taken++;
+            int accepted = 0;
+            while (accepted < 1000 && accepts(journal, message("m" + accepted, 1000))) {
+                accepted++;
             }
-            assertTrue(taken > 10 && taken < 100, "taken: " + taken);
-            for (final AcceptedMessage one : List.copyOf(journal.openMessages())) {
+            assertTrue(accepted > 10 && accepted < 100, "accepted: " + accepted);
+            for (final AcceptedMessage message : List.copyOf(journal.openMessages())) {
                 for (int attempt = 0; attempt < 12; attempt++) {
-                    assertTrue(journal.beginAttempt(one, attempt, "a"), "room for how messages fare is kept");
-                    journal.endAttempt(one, true);
+                    assertTrue(
+                            journal.beginAttempt(message, attempt, "a"), "space for attempts and outcomes is reserved");
+                    journal.endAttempt(message, true);
                 }
-                journal.recordNotice(one, new AcceptedMessage.Notice(true, 0));
+                journal.recordNotice(message, new AcceptedMessage.Notice(true, 0));
             }
-            assertFalse(takes(journal, held("late", 1000)));
+            assertFalse(accepts(journal, message("late", 1000)));
             journal.complete(journal.openMessages().iterator().next());
-            assertTrue(takes(journal, held("later", 1000)));
-            assertTrue(used() < DISK_BYTES, "used: " + used());
+            assertTrue(accepts(journal, message("later", 1000)));
+            assertTrue(bytesOnDisk() < DISK_BYTES, "used: " + bytesOnDisk());
         }
     }
 
-    /** Room for so many messages of that size. */
-    private static MemoryBudget memoryFor(final int messages, final int bytes) {
-        return MemoryBudget.of(messages * MemoryBudget.bytesOf(held("m0", bytes)));
+    /** A budget for the given number of messages of the given body size. */
+    private static MemoryBudget budgetFor(final int messages, final int bytes) {
+        return MemoryBudget.of(messages * MemoryBudget.bytesOf(message("m0", bytes)));
     }
 
     @Test
-    void takesNothingOnBeyondItsMemoryUntilAMessageIsOver() throws IOException {
-        final MemoryBudget memory = memoryFor(3, 100);
+    void messagesBeyondTheMemoryBudgetAreRejectedUntilOneCompletes() throws IOException {
+        final MemoryBudget memory = budgetFor(3, 100);
         try (Journal journal = Journal.open(folder, DISK_BYTES, memory)) {
             for (int index = 0; index < 3; index++) {
-                assertTrue(takes(journal, held("m" + index, 100)));
+                assertTrue(accepts(journal, message("m" + index, 100)));
             }
-            assertFalse(takes(journal, held("m3", 100)));
-            assertFalse(journal.contains("m3"), "what is refused is not held");
+            assertFalse(accepts(journal, message("m3", 100)));
+            assertFalse(journal.contains("m3"), "a rejected message is not open");
             final AcceptedMessage first = journal.openMessages().iterator().next();
             journal.recordNotice(first, new AcceptedMessage.Notice(true, 0));
-            assertFalse(takes(journal, held("m3", 100)), "a notice that is owed is still held");
+            assertFalse(accepts(journal, message("m3", 100)), "a message with a pending notice is still charged");
             journal.complete(first);
             journal.complete(first);
-            assertTrue(takes(journal, held("m3", 100)));
-            assertFalse(takes(journal, held("m4", 100)), "what is over twice is released once");
+            assertTrue(accepts(journal, message("m3", 100)));
+            assertFalse(accepts(journal, message("m4", 100)), "a message completed twice is released once");
             journal.openMessages().forEach(journal::complete);
             assertEquals(0, memory.usedBytes());
         }
     }
 
     @Test
-    void aMessageThatTheDiskRefusesTakesNoMemory() throws IOException {
+    void aMessageRejectedByTheDiskLimitIsNotChargedToMemory() throws IOException {
         final MemoryBudget memory = MemoryBudget.unlimited();
         try (Journal journal = Journal.open(folder, DISK_BYTES, memory)) {
-            int taken = 0;
-            while (takes(journal, held("m0" + taken, 1000))) {
-                taken++;
+            int accepted = 0;
+            while (accepts(journal, message("m0" + accepted, 1000))) {
+                accepted++;
             }
             final long expected = journal.openMessages().stream()
                     .mapToLong(MemoryBudget::bytesOf)
@@ -185,37 +198,41 @@
     }
 
     @Test
-    void whatIsOwedIsHeldBeyondTheMemoryAndNothingNewIsTakenUntilItIsBelow() throws IOException {
+    void openMessagesLoadBeyondTheMemoryBudgetAndNewOnesAreRejected() throws IOException {
         try (Journal journal = Journal.open(folder, DISK_BYTES)) {
             for (int index = 0; index < 5; index++) {
-                assertTrue(takes(journal, held("m" + index, 100)));
+                assertTrue(accepts(journal, message("m" + index, 100)));
             }
             journal.complete(journal.openMessages().iterator().next());
         }
-        final MemoryBudget memory = memoryFor(3, 100);
+        final MemoryBudget memory = budgetFor(3, 100);
         try (Journal journal = Journal.open(folder, DISK_BYTES, memory)) {
-            assertEquals(4, journal.openMessages().size(), "nothing that is owed is dropped");
-            assertEquals(4 * MemoryBudget.bytesOf(held("m0", 100)), memory.usedBytes(), "what was over is not charged");
-            assertTrue(journal.acceptInherited(held("m5", 100)), "nor is what a process that leaves took on");
-            for (int left = 5; left >= 3; left--) {
-                assertFalse(takes(journal, held("m9", 100)), "held: " + left);
+            assertEquals(4, journal.openMessages().size(), "no open message is dropped");
+            assertEquals(
+                    4 * MemoryBudget.bytesOf(message("m0", 100)),
+                    memory.usedBytes(),
+                    "the completed message is not charged");
+            assertTrue(journal.acceptInherited(message("m5", 100)), "a message of a predecessor process is accepted");
+            for (int openCount = 5; openCount >= 3; openCount--) {
+                assertFalse(accepts(journal, message("m9", 100)), "open messages: " + openCount);
                 journal.complete(journal.openMessages().iterator().next());
             }
-            assertTrue(takes(journal, held("m9", 100)));
+            assertTrue(accepts(journal, message("m9", 100)));
         }
     }
 
     @Test
-    void anUnfinishedCompactionIsDropped() throws IOException {
+    void anUnfinishedCompactionIsDiscarded() throws IOException {
         try (Journal journal = Journal.open(folder, DISK_BYTES)) {
-            assertTrue(takes(journal, held("kept", 50)));
+            assertTrue(accepts(journal, message("kept", 50)));
         }
         Files.write(folder.resolve("journal.next"), new byte[] {1, 2, 3}, StandardOpenOption.CREATE);
-        assertEquals(List.of("kept"), reopened().stream().map(one -> one.id).toList());
+        assertEquals(
+                List.of("kept"), reopened().stream().map(message -> message.id).toList());
         assertFalse(Files.exists(folder.resolve("journal.next")));
     }
 
-    private long used() throws IOException {
+    private long bytesOnDisk() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.mapToLong(file -> file.toFile().length()).sum();
         }
--- a/src/test/java/railspar/node/LogTest.java
+++ b/src/test/java/railspar/node/LogTest.java
@@ -8,17 +8,17 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** What a line of the log begins with. */
+/** Guards the format of the timestamps at the start of a log line. */
 final class LogTest {
     @Test
-    void aLineTellsTheWallClockAndTheMonotonicOne() {
-        final PrintStream before = System.err;
+    void eachLineStartsWithTheWallClockAndTheMonotonicClock() {
+        final PrintStream originalErr = System.err;
         final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         System.setErr(new PrintStream(bytes, true, StandardCharsets.UTF_8));
         try {
             Log.info("ready");
         } finally {
-            System.setErr(before);
+            System.setErr(originalErr);
         }
         final String line = bytes.toString(StandardCharsets.UTF_8);
         assertTrue(
--- a/src/test/java/railspar/node/RecordsTest.java
+++ b/src/test/java/railspar/node/RecordsTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** How a file of records is read: whole records only, in slices whose size does not follow the file's. */
+/** Guards that only complete records are read, and through a buffer whose size does not grow with the file. */
 final class RecordsTest {
     private static final byte TYPE = 1;
-    private static final int LONGEST_BODY = 100_000;
-    private static final int MOST_READ_BYTES = 1 << 18;
+    private static final int MAX_BODY_BYTES = 100_000;
+    private static final int MAX_READ_BYTES = 1 << 18;
 
     @TempDir
     private Path folder;
@@ -30,9 +30,9 @@
                 StandardOpenOption.WRITE);
     }
 
-    /** Record sizes that end at all sorts of places of a slice, the longest ones among them. */
+    /** Body sizes, including the longest one, such that records end at many different positions of the buffer. */
     private static int bodyBytes(final int index) {
-        return index % 10 == 0 ? LONGEST_BODY : index * 7919 % 3000;
+        return index % 10 == 0 ? MAX_BODY_BYTES : index * 7919 % 3000;
     }
 
     private static long write(final FileChannel file, final int count) throws IOException {
@@ -51,15 +51,15 @@
     }
 
     @Test
-    void aFileOfManySlicesIsReadWholeAndInOrder() throws IOException {
+    void aFileLargerThanTheBufferIsReadCompletelyAndInOrder() throws IOException {
         final int count = 500;
         try (FileChannel file = open()) {
             final long size = write(file, count);
-            assertTrue(size > 10L * MOST_READ_BYTES, "size: " + size);
+            assertTrue(size > 10L * MAX_READ_BYTES, "size: " + size);
             final List<String> ids = new ArrayList<>();
-            final long end = Records.read(file, 0, (type, id, rest) -> {
-                assertEquals(bodyBytes(ids.size()), rest.readInt());
-                assertEquals(bodyBytes(ids.size()), rest.available());
+            final long end = Records.read(file, 0, (type, id, content) -> {
+                assertEquals(bodyBytes(ids.size()), content.readInt());
+                assertEquals(bodyBytes(ids.size()), content.available());
                 ids.add(id);
             });
             assertEquals(size, end);
@@ -71,39 +71,39 @@
     }
 
     @Test
-    void noReadOfTheFileIsLargerThanASlice() throws IOException {
+    void noSingleReadExceedsTheBufferSize() throws IOException {
         try (FileChannel file = open()) {
             final long size = write(file, 500);
             final CountingFileChannel counting = new CountingFileChannel(file);
-            assertEquals(size, Records.read(counting, 0, (type, id, rest) -> {}));
-            assertTrue(counting.largestRead() <= MOST_READ_BYTES, "largest read: " + counting.largestRead());
-            assertTrue(counting.bytesRead() <= size, "nothing is read twice: " + counting.bytesRead());
+            assertEquals(size, Records.read(counting, 0, (type, id, content) -> {}));
+            assertTrue(counting.largestRead() <= MAX_READ_BYTES, "largest read: " + counting.largestRead());
+            assertTrue(counting.bytesRead() <= size, "no byte is read twice: " + counting.bytesRead());
         }
     }
 
     @Test
-    void aTornRecordBehindManySlicesIsTheEnd() throws IOException {
+    void readingEndsAtAnIncompleteRecord() throws IOException {
         try (FileChannel file = open()) {
             final long size = write(file, 400);
-            final ByteBuffer torn = Records.encode(TYPE, "torn", out -> out.write(new byte[LONGEST_BODY]));
-            torn.limit(torn.limit() - 1);
-            Records.write(file, torn, size);
-            assertEquals(size, Records.read(file, 0, (type, id, rest) -> {}));
+            final ByteBuffer incomplete = Records.encode(TYPE, "torn", out -> out.write(new byte[MAX_BODY_BYTES]));
+            incomplete.limit(incomplete.limit() - 1);
+            Records.write(file, incomplete, size);
+            assertEquals(size, Records.read(file, 0, (type, id, content) -> {}));
         }
     }
 
     @Test
-    void readingEndsAtThePositionAskedForAndGoesOnFromThere() throws IOException {
+    void readingStopsAtTheGivenPositionAndResumesFromThere() throws IOException {
         try (FileChannel file = open()) {
             final long middle = write(file, 100);
             final ByteBuffer last = Records.encode(TYPE, "last", out -> {});
             final long size = middle + last.remaining();
             Records.write(file, last, middle);
-            assertEquals(middle, Records.read(file, 0, middle, (type, id, rest) -> {}));
+            assertEquals(middle, Records.read(file, 0, middle, (type, id, content) -> {}));
             final List<String> ids = new ArrayList<>();
-            assertEquals(size, Records.read(file, middle, (type, id, rest) -> ids.add(id)));
+            assertEquals(size, Records.read(file, middle, (type, id, content) -> ids.add(id)));
             assertEquals(List.of("last"), ids);
-            assertEquals(size, Records.read(file, size, (type, id, rest) -> {}));
+            assertEquals(size, Records.read(file, size, (type, id, content) -> {}));
         }
     }
 }
--- a/src/test/java/railspar/node/SoakClients.java
+++ b/src/test/java/railspar/node/SoakClients.java
@@ -11,56 +11,59 @@
 import java.util.function.Function;
 
 /**
- * Clients of a real courier. Each hands in one message after another on a connection that it keeps for as long as the
- * courier does, and waits for each answer as long as the protocol says.
+ * Clients of a real courier. Each submits one message after another on a connection that it keeps until the courier
+ * closes it, and waits for each response until the timeout of the protocol.
  */
 final class SoakClients {
-    private static final int ANSWER_MS = 400;
-    private static final int LEAST_TIME_MS = 1500;
-    private static final int TIME_RANGE_MS = 4000;
+    private static final int RESPONSE_TIMEOUT_MS = 400;
+    private static final int MIN_TIMEOUT_MS = 1500;
+    private static final int TIMEOUT_RANGE_MS = 4000;
 
-    private final CourierProcessFixture rig;
+    private final CourierProcessFixture fixture;
     private final SoakRecord record;
     private final long seed;
-    private final Function<Random, String> kinds;
-    private final int leastPauseMs;
-    private final int mostPauseMs;
+    private final Function<Random, String> messageClasses;
+    private final int minPauseMs;
+    private final int maxPauseMs;
     private final List<Thread> threads = new ArrayList<>();
-    private final AtomicInteger numbers = new AtomicInteger();
-    private volatile boolean handingIn = true;
+    private final AtomicInteger lastNumber = new AtomicInteger();
+    private volatile boolean submitting = true;
 
-    /** {@code kinds} draws the class of each message; between two of them a client rests within those bounds. */
+    /**
+     * Creates the clients. {@code messageClasses} draws the class of each message; between two messages a client
+     * pauses for a random time within the given bounds.
+     */
     SoakClients(
-            final CourierProcessFixture rig,
+            final CourierProcessFixture fixture,
             final SoakRecord record,
             final long seed,
-            final Function<Random, String> kinds,
-            final int leastPauseMs,
-            final int mostPauseMs) {
-        this.rig = rig;
+            final Function<Random, String> messageClasses,
+            final int minPauseMs,
+            final int maxPauseMs) {
+        this.fixture = fixture;
         this.record = record;
         this.seed = seed;
-        this.kinds = kinds;
-        this.leastPauseMs = leastPauseMs;
-        this.mostPauseMs = mostPauseMs;
+        this.messageClasses = messageClasses;
+        this.minPauseMs = minPauseMs;
+        this.maxPauseMs = maxPauseMs;
     }
 
     void start(final int count) {
         for (int number = 0; number < count; number++) {
-            final int own = number;
-            final Thread thread = new Thread(() -> run(own), "client " + own);
+            final int client = number;
+            final Thread thread = new Thread(() -> run(client), "client " + client);
             thread.setDaemon(true);
             thread.start();
             threads.add(thread);
         }
     }
 
-    /** No message is handed in any more. */
+    /** Stops the submission of further messages. */
     void end() {
-        handingIn = false;
+        submitting = false;
     }
 
-    /** As above, and all have the answers that will come. */
+    /** As {@link #end}, and waits until all clients have finished. */
     void stop() throws InterruptedException {
         end();
         for (final Thread thread : threads) {
@@ -69,19 +72,19 @@
     }
 
     private void run(final int number) {
-        final Random own = new Random(seed + number);
+        final Random random = new Random(seed + number);
         Socket socket = null;
-        while (handingIn) {
+        while (submitting) {
             try {
                 if (socket == null) {
-                    socket = rig.connect();
-                    socket.setSoTimeout(ANSWER_MS);
+                    socket = fixture.connect();
+                    socket.setSoTimeout(RESPONSE_TIMEOUT_MS);
                 }
-                if (!handIn(socket, number, own)) {
+                if (!submit(socket, number, random)) {
                     socket.close();
                     socket = null;
                 }
-                Thread.sleep(leastPauseMs + own.nextInt(mostPauseMs - leastPauseMs));
+                Thread.sleep(minPauseMs + random.nextInt(maxPauseMs - minPauseMs));
             } catch (final IOException e) {
                 socket = null;
             } catch (final InterruptedException e) {
@@ -90,18 +93,18 @@
         }
     }
 
-    /** False if the connection is of no more use. */
-    private boolean handIn(final Socket socket, final int client, final Random own) throws IOException {
-        final String kind = kinds.apply(own);
-        final String id = kind + "-" + client + "-" + numbers.incrementAndGet();
-        final String key = kind.equals("turn") ? "key" + client : null;
-        final long timeoutMs = LEAST_TIME_MS + own.nextInt(TIME_RANGE_MS);
+    /** Submits a message; returns false if the connection cannot be used any more. */
+    private boolean submit(final Socket socket, final int client, final Random random) throws IOException {
+        final String messageClass = messageClasses.apply(random);
+        final String id = messageClass + "-" + client + "-" + lastNumber.incrementAndGet();
+        final String key = messageClass.equals("turn") ? "key" + client : null;
+        final long timeoutMs = MIN_TIMEOUT_MS + random.nextInt(TIMEOUT_RANGE_MS);
         final String text = (key == null
-                        ? CourierProcessFixture.message(id, kind)
+                        ? CourierProcessFixture.message(id, messageClass)
                         : CourierProcessFixture.orderedMessage(id, key))
                 .replace("X-Timeout-Ms: 20000", "X-Timeout-Ms: " + timeoutMs);
-        final SoakRecord.Message message = new SoakRecord.Message(id, kind, key, record.nowMs(), timeoutMs);
-        record.handedIn(message);
+        final SoakRecord.Message message = new SoakRecord.Message(id, messageClass, key, record.nowMs(), timeoutMs);
+        record.submitted(message);
         try {
             final CourierProcessFixture.Answer answer = CourierProcessFixture.send(socket, text);
             message.answeredMs = record.nowMs();
--- a/src/test/java/railspar/node/SoakRun.java
+++ b/src/test/java/railspar/node/SoakRun.java
@@ -15,25 +15,25 @@
 import railspar.node.FaultPage.Fault;
 
 /**
- * One seeded play before a real courier: clients that use their open connections until the kill, endpoints, an agent
- * and a platform of their own pace, signals in series, and faults of folder, sockets and clocks. The same seed and
- * range of faults draw the same schedule.
+ * One seeded run against a real courier. It has clients that use their open connections until the kill, endpoints, an
+ * agent and a platform with varying response times, series of signals, and faults of the state folder, the sockets
+ * and the clocks. The same seed and fault range draw the same schedule.
  */
 final class SoakRun implements AutoCloseable {
     private static final int CLIENTS = 8;
-    private static final int LEAST_PAUSE_MS = 20;
-    private static final int MOST_PAUSE_MS = 140;
-    private static final int CROWD = 150;
-    /** SIGKILL comes no sooner than that after SIGTERM. */
-    private static final long KILL_MS = 3700;
-
-    private static final long DOWN_MS = 600;
-    private static final long HEARTBEAT_MS = 2000;
-    private static final long READY_MS = 10_000;
-    private static final long MOST_END_MS = 12_000;
+    private static final int MIN_PAUSE_MS = 20;
+    private static final int MAX_PAUSE_MS = 140;
+    private static final int IDLE_CONNECTIONS = 150;
+    /** Minimum time between SIGTERM and SIGKILL. */
+    private static final long KILL_DELAY_MS = 3700;
+
+    private static final long DOWNTIME_MS = 600;
+    private static final long HEARTBEAT_INTERVAL_MS = 2000;
+    private static final long MAX_STARTUP_MS = 10_000;
+    private static final long MAX_END_WAIT_MS = 12_000;
     private static final int HOUR_S = 3600;
-    private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    private static final Pattern AFTER = Pattern.compile("after=(-?\\d+)");
+    private static final String CHUNKED_RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final Pattern AFTER_VERSION = Pattern.compile("after=(-?\\d+)");
     private static final List<Fault> FOLDER_FAULTS =
             List.of(Fault.OPEN_ERRNO, Fault.READ_ERRNO, Fault.WRITE_ERRNO, Fault.RENAME_ERRNO, Fault.TRUNCATE_ERRNO);
     private static final List<Fault> SOCKET_FAULTS =
@@ -49,57 +49,57 @@
             FaultPage.EHOSTUNREACH);
     private static final List<Long> SEND_EFFECTS =
             List.of(FaultPage.ALL_BYTES, FaultPage.HALF_OF_THE_BYTES, FaultPage.NO_BYTES);
-    private static final int SHORT_BYTES = 40;
+    private static final int SHORT_SEND_BYTES = 40;
 
-    /** Which faults are drawn. */
+    /** The range of faults that a run draws from. */
     enum Range {
-        /** Folder, clocks, signals, and calls that fail before their effect on sockets. */
+        /** Folder faults, clock steps, signals, and socket calls that fail before they take effect. */
         BASIC,
-        /** Also sends, shutdowns, closes and connects that fail after their effect, faults in pairs, hand-overs. */
+        /** Also socket calls (send, shutdown, close, connect) that fail after taking effect, pairs, handovers. */
         WIDE
     }
 
-    /** What has been played and seen. */
+    /** What happened in the run, as seen by clients, endpoints and platform. */
     final SoakRecord record = new SoakRecord();
 
     private final Range range;
     private final Random random;
-    private final CourierProcessFixture rig;
+    private final CourierProcessFixture fixture;
     private final FakeServer otherPlatform;
     private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(1);
     private final List<FakeServer.Connection> watches = new CopyOnWriteArrayList<>();
-    private final List<Socket> crowd = new ArrayList<>();
+    private final List<Socket> idleConnections = new ArrayList<>();
     private final SoakClients clients;
     private final List<String> schedule = new ArrayList<>();
     private volatile boolean draining;
-    /** Connections may break, and with them watches. */
+    /** Injected faults may break connections, and with them watches. */
     private volatile boolean connectionsFail;
 
     private volatile boolean sendsFail;
     private volatile long unreachableSinceMs = -1;
-    private volatile long agentMs;
-    private volatile long noticeMs;
+    private volatile long watchDelayMs;
+    private volatile long noticeDelayMs;
     private volatile long endpointSeed;
 
     SoakRun(final long seed, final Range range, final Path folder) throws IOException, InterruptedException {
         this.range = range;
         random = new Random(seed);
-        rig = new CourierProcessFixture(folder);
-        otherPlatform = new FakeServer(this::platform);
-        rig.platform.script(this::platform);
-        rig.discovery = "pushed";
-        rig.sockets = 384;
-        rig.maxOpen = 200;
-        rig.faults = new FaultPage(folder, folder.resolve("state"));
-        rig.hosts = hosts();
+        fixture = new CourierProcessFixture(folder);
+        otherPlatform = new FakeServer(this::answerPlatformRequest);
+        fixture.platform.script(this::answerPlatformRequest);
+        fixture.discovery = "pushed";
+        fixture.sockets = 384;
+        fixture.maxOpen = 200;
+        fixture.faults = new FaultPage(folder, folder.resolve("state"));
+        fixture.hosts = hosts();
         endpointSeed = random.nextLong();
-        clients = new SoakClients(rig, record, endpointSeed, this::drawKind, LEAST_PAUSE_MS, MOST_PAUSE_MS);
-        rig.first.script((request, connection) -> endpoint("e1", request, connection));
-        rig.second.script((request, connection) -> endpoint("e2", request, connection));
+        clients = new SoakClients(fixture, record, endpointSeed, this::drawMessageClass, MIN_PAUSE_MS, MAX_PAUSE_MS);
+        fixture.first.script((request, connection) -> answerCall("e1", request, connection));
+        fixture.second.script((request, connection) -> answerCall("e2", request, connection));
     }
 
-    private String drawKind(final Random own) {
-        final int draw = own.nextInt(10);
+    private String drawMessageClass(final Random clientRandom) {
+        final int draw = clientRandom.nextInt(10);
         if (range == Range.BASIC) {
             return draw < 5 ? "safe" : draw < 7 ? "once" : "turn";
         }
@@ -107,56 +107,57 @@
     }
 
     private String hosts() {
-        return CourierProcessFixture.hostEntry("e1", rig.first, draining ? "Terminating" : "Ready") + ","
-                + CourierProcessFixture.hostEntry("e2", rig.second, "Ready");
+        return CourierProcessFixture.hostEntry("e1", fixture.first, draining ? "Terminating" : "Ready") + ","
+                + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
     }
 
-    // ---------------------------------------------------------------- surroundings
+    // ---------------------------------------------------------------- platform, discovery and endpoints
 
-    private void platform(final FakeServer.Request request, final FakeServer.Connection connection) {
+    private void answerPlatformRequest(final FakeServer.Request request, final FakeServer.Connection connection) {
         if (request.line().startsWith("POST")) {
             record.noticed(request.text());
-            timer.schedule(() -> connection.answer(204, ""), noticeMs, TimeUnit.MILLISECONDS);
+            timer.schedule(() -> connection.answer(204, ""), noticeDelayMs, TimeUnit.MILLISECONDS);
             return;
         }
-        final Matcher after = AFTER.matcher(request.line());
+        final Matcher after = AFTER_VERSION.matcher(request.line());
         final long version = after.find() ? Long.parseLong(after.group(1)) : -1;
-        timer.schedule(() -> watch(connection, version), agentMs, TimeUnit.MILLISECONDS);
+        timer.schedule(() -> answerWatch(connection, version), watchDelayMs, TimeUnit.MILLISECONDS);
     }
 
-    private void watch(final FakeServer.Connection connection, final long version) {
-        connection.write(HEAD);
-        if (version < version()) {
-            tell(connection);
+    private void answerWatch(final FakeServer.Connection connection, final long version) {
+        connection.write(CHUNKED_RESPONSE_HEAD);
+        if (version < listVersion()) {
+            sendList(connection);
         } else {
             connection.chunk("\n");
         }
         watches.add(connection);
-        timer.schedule(() -> heartbeat(connection), HEARTBEAT_MS, TimeUnit.MILLISECONDS);
+        timer.schedule(() -> heartbeat(connection), HEARTBEAT_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private void heartbeat(final FakeServer.Connection connection) {
         if (!connection.ended) {
             connection.chunk("\n");
-            timer.schedule(() -> heartbeat(connection), HEARTBEAT_MS, TimeUnit.MILLISECONDS);
+            timer.schedule(() -> heartbeat(connection), HEARTBEAT_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private long version() {
+    private long listVersion() {
         return draining ? 42 : 41;
     }
 
-    private void tell(final FakeServer.Connection connection) {
+    private void sendList(final FakeServer.Connection connection) {
         if (!connection.ended) {
-            connection.chunk(CourierProcessFixture.listLine(version(), hosts()));
-            // What a connection that fails takes along is told by the next watch, 6 s later at the latest.
+            connection.chunk(CourierProcessFixture.listLine(listVersion(), hosts()));
+            // If the connection fails, the next watch sends the list again, at the latest 6 s later.
             if (!connectionsFail) {
-                record.told();
+                record.listSent();
             }
         }
     }
 
-    private void endpoint(final String name, final FakeServer.Request request, final FakeServer.Connection connection) {
+    private void answerCall(
+            final String name, final FakeServer.Request request, final FakeServer.Connection connection) {
         final long draw = new Random(endpointSeed + request.ids().hashCode() * 31L + name.hashCode()).nextInt(100);
         if (draw < 80) {
             record.called(request, name, 200);
@@ -177,13 +178,13 @@
 
     // ---------------------------------------------------------------- the schedule
 
-    /** Plays it; the result is the broken rules. */
+    /** Runs the schedule and returns the violations of the rules. */
     List<String> run() throws IOException, InterruptedException {
         record.launched();
-        rig.start();
+        fixture.start();
         clients.start(CLIENTS);
         if (random.nextInt(3) == 0) {
-            comeAsCrowd();
+            openIdleConnections();
         }
         pause(500, 1000);
         final int drainAt = random.nextInt(5);
@@ -202,48 +203,50 @@
         pause(500, 1500);
         clients.stop();
         clearFaults();
-        final long untilMs = record.nowMs() + MOST_END_MS;
+        final long untilMs = record.nowMs() + MAX_END_WAIT_MS;
         while (record.pending() > 0 && record.nowMs() < untilMs) {
             Thread.sleep(20);
         }
-        if (!rig.isAlive()) {
-            record.fault("the process has ended by itself");
+        if (!fixture.isAlive()) {
+            record.addViolation("the process exited unexpectedly");
         }
-        rig.log.stream().filter(line -> line.startsWith("violation prevented")).forEach(record::fault);
+        fixture.log.stream()
+                .filter(line -> line.startsWith("violation prevented"))
+                .forEach(record::addViolation);
         return record.violations();
     }
 
-    private void pause(final int leastMs, final int mostMs) throws InterruptedException {
-        Thread.sleep(leastMs + random.nextInt(mostMs - leastMs));
+    private void pause(final int minMs, final int maxMs) throws InterruptedException {
+        Thread.sleep(minMs + random.nextInt(maxMs - minMs));
     }
 
-    private void comeAsCrowd() throws IOException {
-        note("crowd");
-        for (int count = 0; count < CROWD; count++) {
-            crowd.add(rig.connect());
+    private void openIdleConnections() throws IOException {
+        addToSchedule(IDLE_CONNECTIONS + " idle connections opened");
+        for (int count = 0; count < IDLE_CONNECTIONS; count++) {
+            idleConnections.add(fixture.connect());
         }
     }
 
     private void beginDrain() {
-        agentMs = random.nextInt(3) == 0 ? 0 : random.nextInt(4000);
-        note("drain of e1, watches answered after " + agentMs + " ms");
+        watchDelayMs = random.nextInt(3) == 0 ? 0 : random.nextInt(4000);
+        addToSchedule("drain of e1, watches answered after " + watchDelayMs + " ms");
         draining = true;
-        record.drains("e1");
+        record.drainStarted("e1");
         if (random.nextBoolean()) {
-            watches.forEach(this::tell);
+            watches.forEach(this::sendList);
         } else {
-            note("watches cut");
+            addToSchedule("watches reset");
             watches.forEach(FakeServer.Connection::reset);
             watches.clear();
         }
     }
 
-    private void wideStep(final int kind) throws IOException, InterruptedException {
-        switch (kind) {
+    private void wideStep(final int choice) throws IOException, InterruptedException {
+        switch (choice) {
             case 7 -> {
                 failSends();
                 pause(300, 1500);
-                clearOften();
+                clearFaultsUsually();
             }
             case 8 -> {
                 failSends();
@@ -251,181 +254,183 @@
                 clearFaults();
             }
             case 9 -> handOver();
-            default -> step(kind);
+            default -> step(choice);
         }
     }
 
-    private void step(final int kind) throws IOException, InterruptedException {
-        switch (kind) {
-            case 0 -> hangUps();
-            case 1 -> fail(FOLDER_FAULTS.get(random.nextInt(FOLDER_FAULTS.size())), FaultPage.EIO, 300, 2500);
-            case 2 -> fail(SOCKET_FAULTS.get(random.nextInt(SOCKET_FAULTS.size())), FaultPage.ETIMEDOUT, 200, 1000);
-            case 3 -> standStill();
+    private void step(final int choice) throws IOException, InterruptedException {
+        switch (choice) {
+            case 0 -> sendHangups();
+            case 1 -> injectFault(FOLDER_FAULTS.get(random.nextInt(FOLDER_FAULTS.size())), FaultPage.EIO, 300, 2500);
+            case 2 ->
+                injectFault(SOCKET_FAULTS.get(random.nextInt(SOCKET_FAULTS.size())), FaultPage.ETIMEDOUT, 200, 1000);
+            case 3 -> suspend();
             case 4 -> stepClock();
             case 5 -> {
-                noticeMs = random.nextInt(2500);
-                note("notices answered after " + noticeMs + " ms");
+                noticeDelayMs = random.nextInt(2500);
+                addToSchedule("notices answered after " + noticeDelayMs + " ms");
             }
             default -> restart();
         }
     }
 
-    private void hangUps() throws IOException, InterruptedException {
+    private void sendHangups() throws IOException, InterruptedException {
         final int count = 1 + random.nextInt(10);
-        note(count + " SIGHUPs");
+        addToSchedule(count + " SIGHUPs");
         for (int left = count; left > 0; left--) {
             if (random.nextInt(3) == 0) {
-                rig.reloadTruncatedConfig();
+                fixture.reloadTruncatedConfig();
             } else {
-                rig.reload(random.nextBoolean() ? rig.platform : otherPlatform);
+                fixture.reload(random.nextBoolean() ? fixture.platform : otherPlatform);
             }
             pause(20, 120);
         }
-        // What stands last is whole.
-        rig.reload(rig.platform);
+        // The last configuration is complete.
+        fixture.reload(fixture.platform);
     }
 
-    private void fail(final Fault fault, final int error, final int leastMs, final int mostMs)
+    private void injectFault(final Fault fault, final int error, final int minMs, final int maxMs)
             throws InterruptedException {
         final int oneIn = 1 + random.nextInt(3);
         final boolean takesEffect = random.nextBoolean();
-        note(fault + " " + error + ", one in " + oneIn + (takesEffect ? ", after its effect" : ""));
-        // Sends that fail meanwhile do so as often as drawn for them.
+        addToSchedule(fault + " " + error + ", one in " + oneIn + (takesEffect ? ", after its effect" : ""));
+        // While sends are failing, they keep the failure rate drawn for them.
         if (!sendsFail) {
-            rig.faults.set(Fault.ONE_IN, oneIn);
+            fixture.faults.set(Fault.ONE_IN, oneIn);
         }
-        rig.faults
+        fixture.faults
                 .set(Fault.WRITE_EFFECT, takesEffect ? FaultPage.ALL_BYTES : random.nextInt(40))
                 .set(Fault.RENAME_EFFECT, takesEffect ? 1 : 0)
                 .set(fault, error);
         connectionsFail |= fault == Fault.RECEIVE_ERRNO;
-        pause(leastMs, mostMs);
-        clearOften();
+        pause(minMs, maxMs);
+        clearFaultsUsually();
     }
 
-    private void clearOften() {
+    /** Clears all faults in three of four cases. */
+    private void clearFaultsUsually() {
         if (random.nextInt(4) > 0) {
             clearFaults();
         }
     }
 
-    /** Sends fail from now on, some beside another call on sockets. */
+    /** Makes sends fail from now on, in some runs together with another socket call. */
     private void failSends() {
         final int error = SEND_ERRORS.get(random.nextInt(SEND_ERRORS.size()));
         final long effect = SEND_EFFECTS.get(random.nextInt(SEND_EFFECTS.size()));
         final long scope = random.nextInt(3);
         final int oneIn = 1 + random.nextInt(3);
-        final Fault other = drawOther();
-        note("sends fail with " + error + ", effect " + effect + ", scope " + scope + ", one in " + oneIn + ", beside "
-                + other);
+        final Fault other = setOtherFault();
+        addToSchedule("sends fail with " + error + ", effect " + effect + ", scope " + scope + ", one in " + oneIn
+                + ", together with " + other);
         connectionsFail = true;
         sendsFail = true;
         if (oneIn == 1 && effect != FaultPage.ALL_BYTES && scope != FaultPage.ACCEPTED_SOCKETS) {
             unreachableSinceMs = record.nowMs();
         }
-        rig.faults
+        fixture.faults
                 .set(Fault.ONE_IN, oneIn)
                 .set(Fault.SOCKET_SCOPE, scope)
                 .set(Fault.SEND_EFFECT, effect)
                 .set(Fault.SEND_ERRNO, error);
     }
 
-    /** Sets another fault of sockets, or none. */
-    private Fault drawOther() {
+    /** Sets another socket fault, or none. */
+    private Fault setOtherFault() {
         return switch (random.nextInt(6)) {
-            case 0 -> set(Fault.SHUTDOWN_ERRNO, FaultPage.ENOTCONN);
-            case 1 -> set(Fault.CLOSE_ERRNO, FaultPage.EIO);
+            case 0 -> setFault(Fault.SHUTDOWN_ERRNO, FaultPage.ENOTCONN);
+            case 1 -> setFault(Fault.CLOSE_ERRNO, FaultPage.EIO);
             case 2 -> {
-                rig.faults.set(Fault.CONNECT_EFFECT, 1);
-                yield set(Fault.CONNECT_ERRNO, FaultPage.EHOSTUNREACH);
+                fixture.faults.set(Fault.CONNECT_EFFECT, 1);
+                yield setFault(Fault.CONNECT_ERRNO, FaultPage.EHOSTUNREACH);
             }
-            case 3 -> set(Fault.SEND_SHORT, SHORT_BYTES);
-            case 4 -> set(Fault.RECEIVE_ERRNO, FaultPage.ETIMEDOUT);
+            case 3 -> setFault(Fault.SEND_SHORT, SHORT_SEND_BYTES);
+            case 4 -> setFault(Fault.RECEIVE_ERRNO, FaultPage.ETIMEDOUT);
             default -> null;
         };
     }
 
-    private Fault set(final Fault fault, final long value) {
-        rig.faults.set(fault, value);
+    private Fault setFault(final Fault fault, final long value) {
+        fixture.faults.set(fault, value);
         return fault;
     }
 
     private void clearFaults() {
-        rig.faults.clear();
+        fixture.faults.clear();
         connectionsFail = false;
         sendsFail = false;
         if (unreachableSinceMs >= 0) {
-            record.unreachable(unreachableSinceMs);
+            record.platformUnreachable(unreachableSinceMs);
             unreachableSinceMs = -1;
         }
     }
 
-    private void standStill() throws IOException, InterruptedException {
+    private void suspend() throws IOException, InterruptedException {
         final int ms = random.nextBoolean() ? 150 : 1000 + random.nextInt(2000);
-        note("stands still for " + ms + " ms");
+        addToSchedule("SIGSTOP for " + ms + " ms");
         final long fromMs = record.nowMs();
-        rig.signal("STOP");
+        fixture.signal("STOP");
         Thread.sleep(ms);
-        rig.signal("CONT");
-        record.stoodStill(fromMs);
+        fixture.signal("CONT");
+        record.suspended(fromMs);
     }
 
     private void stepClock() {
         final int seconds = random.nextBoolean() ? HOUR_S : -HOUR_S;
         final int steps = random.nextInt(3) - 1;
-        note("wall clock at " + steps * seconds + " s");
-        rig.faults.set(Fault.CLOCK_STEP_S, (long) steps * seconds);
+        addToSchedule("wall clock offset " + steps * seconds + " s");
+        fixture.faults.set(Fault.CLOCK_STEP_S, (long) steps * seconds);
     }
 
     private void restart() throws IOException, InterruptedException {
         final long fromMs = record.nowMs();
         if (random.nextInt(3) > 0) {
-            note("SIGTERM");
-            rig.signal("TERM");
-            final Process ending = rig.process();
-            if (!ending.waitFor(KILL_MS, TimeUnit.MILLISECONDS)) {
-                record.fault("it had not ended at the kill");
+            addToSchedule("SIGTERM");
+            fixture.signal("TERM");
+            final Process terminating = fixture.process();
+            if (!terminating.waitFor(KILL_DELAY_MS, TimeUnit.MILLISECONDS)) {
+                record.addViolation("the process had not exited before the kill");
             }
         }
-        rig.kill();
-        note("killed");
-        crowd.forEach(SoakRun::closeQuietly);
-        crowd.clear();
-        Thread.sleep(DOWN_MS);
+        fixture.kill();
+        addToSchedule("killed");
+        idleConnections.forEach(SoakRun::closeQuietly);
+        idleConnections.clear();
+        Thread.sleep(DOWNTIME_MS);
         if (random.nextBoolean()) {
             stepClock();
         }
         final long startMs = record.nowMs();
-        clearSoon();
+        clearFaultsSoon();
         record.launched();
-        rig.start();
-        note("ready after " + (record.nowMs() - startMs) + " ms");
-        if (record.nowMs() - startMs > READY_MS) {
-            record.fault("ready after " + (record.nowMs() - startMs) + " ms");
+        fixture.start();
+        addToSchedule("ready after " + (record.nowMs() - startMs) + " ms");
+        if (record.nowMs() - startMs > MAX_STARTUP_MS) {
+            record.addViolation("ready after " + (record.nowMs() - startMs) + " ms");
         }
         record.restarted(fromMs);
     }
 
-    /** A fault that lasts is over soon after a start. */
-    private void clearSoon() {
+    /** Clears all faults 1 s later, so that a fault that is still set ends soon after a start. */
+    private void clearFaultsSoon() {
         timer.schedule(this::clearFaults, 1000, TimeUnit.MILLISECONDS);
     }
 
     private void handOver() throws IOException, InterruptedException {
-        clearSoon();
-        final Process old = rig.startSuccessor();
-        note("a second process stands by");
+        clearFaultsSoon();
+        final Process old = fixture.startSuccessor();
+        addToSchedule("the successor process stands by");
         if (random.nextBoolean()) {
             failSends();
         }
-        clearSoon();
+        clearFaultsSoon();
         final long fromMs = record.nowMs();
         record.launched();
-        rig.endOldProcess(old, false);
-        note("handed over");
+        fixture.endOldProcess(old, false);
+        addToSchedule("handed over");
         record.restarted(fromMs);
-        if (!old.waitFor(KILL_MS, TimeUnit.MILLISECONDS)) {
-            record.fault("the process that handed over had not ended at the kill");
+        if (!old.waitFor(KILL_DELAY_MS, TimeUnit.MILLISECONDS)) {
+            record.addViolation("the predecessor process had not exited before the kill");
             old.destroyForcibly();
         }
     }
@@ -438,26 +443,26 @@
         }
     }
 
-    private void note(final String what) {
+    private void addToSchedule(final String what) {
         schedule.add(record.nowMs() + " " + what);
     }
 
-    /** What was played when. */
+    /** The steps of the run, each with its time in milliseconds. */
     List<String> schedule() {
         return schedule;
     }
 
     /** The courier's log. */
     List<String> log() {
-        return rig.log;
+        return fixture.log;
     }
 
     @Override
     public void close() throws IOException {
         clients.end();
         timer.shutdownNow();
-        crowd.forEach(SoakRun::closeQuietly);
-        rig.close();
+        idleConnections.forEach(SoakRun::closeQuietly);
+        fixture.close();
         otherPlatform.close();
     }
 }
--- a/src/test/java/railspar/node/StartCrossingsTest.java
+++ b/src/test/java/railspar/node/StartCrossingsTest.java
@@ -30,7 +30,7 @@
         try (Journal journal = Journal.open(folder.resolve("state"), DISK_BYTES)) {
             final long validUntilUs = (System.currentTimeMillis() + leftMs) * 1000;
             for (int count = 0; count < EACH; count++) {
-                assertTrue(JournalTest.takes(
+                assertTrue(JournalTest.accepts(
                         journal,
                         new AcceptedMessage(prefix + count, "safe", null, null, 7, validUntilUs, new byte[800])));
             }
