--- a/src/main/java/railspar/Control.java
+++ b/src/main/java/railspar/Control.java
@@ -17,330 +17,323 @@
 import railspar.RouteState.Phase;
 
 /**
- * Every decision of one courier; its interface is {@code Courier.java}. How it decides, from the top:
+ * All decisions of one courier, behind the interface {@code Courier.java}:
  * <ol>
- * <li>A message waits here until its destination lets it go; one attempt at a time, ended once and in time.
- * <li>Each destination (each route, where routes are apart) is a {@link Route}: a window on calls in flight.
- * <li>Once a second the paper's Table I moves the window from latency and refusals ({@link #step}).
- * <li>Of the messages that may go, the one that loses most by waiting goes first ({@link #urgency}), to the
- * endpoint with least of ours in flight, recent trouble, handshakes and zones to cross ({@link #choose}).
- * <li>A told wait is heeded by the whole lane; a refusal without one makes the lane pause by itself.
- * <li>A lane that returns nothing but trouble is OUT: single trials, as many as a cold one bears; after the
- * first success it is on a RAMP, paced under the tipping rate until it is surely warm.
- * <li>What can be in time no more, or gains least when the store is full, is refused where that is harmless.
- * <li>The list is followed; nothing new goes to an endpoint that drains or is gone.
+ * <li>A message waits until its destination may be called, has one attempt at a time, ends once and in time.
+ * <li>Each destination (each of its routes, if separate) is a {@link Route} with a window of calls in flight.
+ * <li>Each second, Table I of the paper (section V) moves the window by latency and refusals ({@link #step}).
+ * <li>The message that loses most value by waiting is sent first ({@link #urgency}), to the endpoint with the
+ * fewest calls of this courier, failures in a row, handshakes and zone crossings ({@link #chooseEndpoint}).
+ * <li>A retry-after holds for the whole route. A refusal without one starts a backoff of the route.
+ * <li>A route with an outage is in PROBE: single calls, as many as a cold destination bears. After the first
+ * success it is in WARMUP, below the rate that overloads a cold destination, until it is surely warm.
+ * <li>A message that is too late, or the least valuable in a full store, is refused where that is harmless.
+ * <li>An endpoint that the list reports as draining or gone gets no new calls.
  * </ol>
  */
 public final class Control implements Courier {
 
     private static final long SECOND_US = 1_000_000;
 
-    // The window (DESIGN; the paper's section V).
-    /** Floor of a window, calls: a lane must always be able to learn. */
-    private static final double WINDOW_FLOOR = 1;
-    /** A new lane's window, calls: one slow answer may not block it; in a large fleet clumps come first. */
-    private static final double WINDOW_START = 2;
-
-    private static final double WINDOW_RARE = 4;
-    /** Shares of the slots that one lane may hold, healthy and sick: the design's. */
+    /** Minimum in-flight window, calls: a route must always be able to learn from a call. */
+    private static final double MIN_WINDOW = 1;
+    /** Initial in-flight window, calls: with 2, one slow answer does not block a new route. */
+    private static final double INITIAL_WINDOW = 2;
+    /** Initial window in a large fleet, calls: messages come there in bursts before the window could grow. */
+    private static final double LARGE_FLEET_WINDOW = 4;
+    /** Share of the call slots that one healthy route may use. */
     private static final double HEALTHY_SHARE = 0.75;
-
-    private static final double SICK_SHARE = 0.5;
-    /** A share, nearer High than Medium: an input above it makes a lane sick for a step. */
-    private static final double SLOW_INPUT = 0.75;
-    /** Samples at the average, mixed into a step's mean latency: two or three answers say little. */
-    private static final double LATENCY_PRIOR = 2;
-    /** Share of a window that must be used for it to grow: unused room has proved nothing. */
-    private static final double USED_SHARE = 0.5;
-
-    // Service times.
-    /** Least weight of a new sample, or of a step, in a slow average: about ten of memory. */
-    private static final double SAMPLE_WEIGHT = 0.1;
-    /** Steps after which that weight holds, and a little more. */
-    private static final long STEPS_AVERAGED = 12;
-    /** Service time of a class before any was seen, as a share of its aim: the aim was set to be met. */
-    private static final double UNSEEN_SHARE = 0.25;
-    /** Least pace of a lane, times the usual: no answer is so quick that the next must be quicker still. */
-    private static final double PACE_LEAST = 0.1;
-    /** A call is overdue after so many times what is expected (one in 150, by chance), and so long, us. */
-    private static final double OVERDUE_TIMES = 5;
-
-    private static final long OVERDUE_LEAST_US = SECOND_US;
-    /** A call begun before a stop has so many times what is expected left (chance cuts off one in seven). */
-    private static final double STOP_TIMES = 2;
-    /** A time-out, in times what is expected, and at least so long, us: wide enough for a long tail. */
-    private static final double TIMEOUT_TIMES = 8;
-
-    private static final long TIMEOUT_LEAST_US = 2 * SECOND_US;
-    /** Share of a class's deadline that this takes at most, and an overdue call's least: room for tries. */
-    private static final double TIMEOUT_SHARE = 0.4;
-
-    private static final double OVERDUE_SHARE = 0.2;
-    /** What a repeat is left of its key's window, us, where that is long enough for both. */
-    private static final long AGAIN_US = SECOND_US / 2;
-    /** After a time-out, the next ones are so many times as wide: it may have been slowness, not silence. */
-    private static final double STRETCH = 3;
-
-    // Refusals and outages.
-    /** Least pause of a lane after a refusal, us: limits are counted over spans of about a second. */
-    private static final long PAUSE_US = SECOND_US / 2;
-    /** After refusals, sends go at so many times the rate served and so many a second more: room may come. */
-    private static final double SPACING = 1.2;
-
-    private static final double SPACING_LEAST = 0.5;
-    /** Of so many couriers each may add that much; more of them share what these may add together. */
-    private static final double SPACING_COURIERS = 3;
-    /** Even parts of a reported limit for one courier: with nothing left, and how many more with all left. */
-    private static final double PART_LEAST = 0.85;
-
-    private static final double PART_GROWTH = 6;
-    /** How sharply: near the middle little, so that they do not swing with news that is a second old. */
-    private static final double PART_POWER = 4;
-    /** Growth of a reported rest, a second, for a single courier: of many, others use it meanwhile. */
-    private static final double REFILL = 2;
-    /** With more of a limit left, spacing gives way by so many times a second: one of few would swing it. */
-    private static final double LEFT_HIGH = 0.8;
-
-    private static final double SPACING_GONE = 2;
-    /** Least share of the list's rough figure that a reported limit can be: lowered ones are about half. */
-    private static final double LEAST_LIMIT = 0.02;
-    /** A told wait above this, us, is no limit's, whose spans are a second or two: it is shut. */
-    private static final long LIMIT_WAIT_US = 5 * SECOND_US / 2;
-    /** Weights in the run of bad outcomes, where a failure weighs 1: crowding refuses too, errors mix. */
-    private static final double REFUSED_WEIGHT = 0.5;
-
+    /** Share of the call slots that one route may use while it is degraded, in PROBE or in WARMUP. */
+    private static final double DEGRADED_SHARE = 0.5;
+    /** A Table I input above this, so nearer to High than to Medium, makes a route degraded for a step. */
+    private static final double DEGRADED_INPUT = 0.75;
+    /** Samples at the average, mixed into a step's mean latency because two or three answers say little. */
+    private static final double LATENCY_PRIOR_SAMPLES = 2;
+    /** Share of a window that must be used for it to grow: an unused part says nothing about capacity. */
+    private static final double GROWTH_USED_SHARE = 0.5;
+    /** Minimum weight of a new sample or step in a moving average, which then covers about ten of them. */
+    private static final double MIN_WEIGHT = 0.1;
+    /** Missed steps to take one by one: the weight is constant after 10, and 2 more leave a margin. */
+    private static final long SINGLE_CATCH_UP_STEPS = 12;
+    /** Service time of a class without samples, as a share of its target, which is set to be met. */
+    private static final double INITIAL_TARGET_SHARE = 0.25;
+    /** Minimum slowdown factor of a route: a quick answer must not require the next to be quicker still. */
+    private static final double MIN_SLOWDOWN = 0.1;
+    /** A call is overdue after this multiple of its expected time; by chance, one in 150 is. */
+    private static final double OVERDUE_FACTOR = 5;
+    /** Minimum age of an overdue call. */
+    private static final long MIN_OVERDUE_US = SECOND_US;
+    /** Multiple of its expected time that a call needs before a stop; by chance, the stop cuts off 1 in 7. */
+    private static final double STOP_FACTOR = 2;
+    /** Timeout as a multiple of the expected time, wide enough for a long tail of service times. */
+    private static final double TIMEOUT_FACTOR = 8;
+    /** Minimum timeout, wide enough for a long tail of service times. */
+    private static final long MIN_TIMEOUT_US = 2 * SECOND_US;
+    /** Maximum share of a class's deadline that MIN_TIMEOUT_US takes, to leave time for more attempts. */
+    private static final double MIN_TIMEOUT_SHARE = 0.4;
+    /** Maximum share of a class's deadline that MIN_OVERDUE_US takes, to leave time for more attempts. */
+    private static final double MIN_OVERDUE_SHARE = 0.2;
+    /** Time kept for a retry in a key's dedup window, where the window is long enough for both attempts. */
+    private static final long RETRY_RESERVE_US = SECOND_US / 2;
+    /** Factor on the timeouts after one expired: the destination may have been slow rather than silent. */
+    private static final double TIMEOUT_STRETCH = 3;
+
+    /** Minimum backoff of a route after a refusal: rate limits are counted over spans of about a second. */
+    private static final long MIN_BACKOFF_US = SECOND_US / 2;
+    /** Multiple of the served rate to send after refusals, as capacity may return; also its growth a step. */
+    private static final double SEND_RATE_FACTOR = 1.2;
+    /** Sends per second added to that multiple of the served rate, as capacity may return. */
+    private static final double EXTRA_SENDS_PER_S = 0.5;
+    /** Couriers that may each add EXTRA_SENDS_PER_S; a larger fleet shares what these may add together. */
+    private static final double EXTRA_SENDS_COURIERS = 3;
+    /** Even parts (limit / fleet size) of a reported limit that a courier uses when nothing of it is left. */
+    private static final double MIN_LIMIT_PARTS = 0.85;
+    /** Even parts that a courier uses in addition when all of the limit is left. */
+    private static final double MORE_LIMIT_PARTS = 6;
+    /** Exponent of the remaining share: flat near 0.5, so that reports a second old cause no oscillation. */
+    private static final double LIMIT_PART_EXPONENT = 4;
+    /** Growth of a reported remaining share per second and courier: in a fleet, others use it meanwhile. */
+    private static final double REFILL_PER_S = 2;
+    /** Remaining share above which a large fleet's send rate grows faster; one of few would make it swing. */
+    private static final double AMPLE_SHARE = 0.8;
+    /** Growth factor of the send rate per second while more than AMPLE_SHARE of the limit remains. */
+    private static final double AMPLE_RATE_FACTOR = 2;
+    /** Lowest plausible reported limit, as a share of the list's rough one: lowered limits are about half. */
+    private static final double LIMIT_FLOOR = 0.02;
+    /** A longer retry-after means a closed destination: rate limits count over spans of a second or two. */
+    private static final long MAX_LIMIT_WAIT_US = 5 * SECOND_US / 2;
+    /** Weight of a refusal in the failure run (a failed call weighs 1): overload causes refusals, too. */
+    private static final double REFUSAL_WEIGHT = 0.5;
+    /** Weight of an error answer in the failure run: errors also come mixed with other outcomes. */
     private static final double ERROR_WEIGHT = 0.4;
-    /** A run of this weight without success is an outage; so is this share of failures: most, and chance. */
-    private static final double OUT_WEIGHT = 3;
-
-    private static final double OUT_SHARE = 0.6;
-    /** Weight of a call in that share: about eight calls of memory. */
-    private static final double FAIL_WEIGHT = 0.12;
-    /** Messages a second: a limit where none is told (a default); least rate at which a line is reckoned. */
-    private static final double UNTOLD_LIMIT = 1;
-
-    private static final double LEAST_RATE = 0.25;
-    /** An endpoint that failed is left alone so long, us; after that its failures in a row count as calls. */
-    private static final long AVOID_US = SECOND_US;
-    /** A failure's weight in a large fleet: what each sends before it is sure of an outage comes times it. */
-    private static final double FLEET_FAILURE_WEIGHT = 1.5;
-    /** Share by which gaps are drawn longer or shorter, so that couriers do not keep step. */
-    private static final double JITTER = 0.2;
-
-    // Choice.
-    /** What a handshake and a crossing of zones weigh in the choice of an endpoint, in calls in flight. */
-    private static final double HANDSHAKE_LOAD = 0.8;
-
-    private static final double CROSS_LOAD = 0.6;
-    /** Chance that a message put off is served after all, in a short line; half of it in a long one. */
-    private static final double KEPT = 0.9;
-    /** How far ahead a line is looked along, us: the next call at least, and what fades at most. */
-    private static final long HORIZON_LEAST_US = SECOND_US;
-
-    private static final long HORIZON_MOST_US = 10 * SECOND_US;
-    /** Share of worth beyond a quota, of which we see a part; messages in a burst that chance may bring. */
-    private static final double OVER_QUOTA = 0.25;
-
-    private static final double QUOTA_BURST = 10;
-    /** Share of the store that is kept free by refusing what has least to gain: the door refuses blindly. */
-    private static final double STORE_RESERVE = 0.05;
-    /** A message ends so long before its time, us: two rounds; share of a key's window not used: clocks. */
+    /** A failure run of this weight, without a success, is an outage. */
+    private static final double OUTAGE_RUN = 3;
+    /** A higher share of failures is an outage: more than half, with a margin for chance. */
+    private static final double OUTAGE_SHARE = 0.6;
+    /** Weight of a call in the share of failures, which then covers about eight calls. */
+    private static final double FAILURE_SHARE_WEIGHT = 0.12;
+    /** Rate limit, messages per second, that is assumed where none is known. */
+    private static final double UNKNOWN_LIMIT_PER_S = 1;
+    /** Minimum service rate, messages per second, in the estimate of how long a queue takes. */
+    private static final double MIN_QUEUE_RATE_PER_S = 0.25;
+    /** Time without calls to a failed endpoint; after it, a failure in a row counts as a call in flight. */
+    private static final long ENDPOINT_AVOID_US = SECOND_US;
+    /** A failure's weight in a large fleet, which multiplies the calls each makes until sure of an outage. */
+    private static final double LARGE_FLEET_FAILURE_WEIGHT = 1.5;
+    /** Share by which intervals are randomly longer or shorter, so that couriers do not synchronize. */
+    private static final double JITTER_SHARE = 0.2;
+
+    /** Cost of a handshake in the choice of an endpoint, in calls in flight. */
+    private static final double HANDSHAKE_CALLS = 0.8;
+    /** Cost of an endpoint in another zone in the choice of an endpoint, in calls in flight. */
+    private static final double OTHER_ZONE_CALLS = 0.6;
+    /** Chance that a message not sent now is delivered later, in a short queue; half of it in a long one. */
+    private static final double LATER_DELIVERY_CHANCE = 0.9;
+    /** Minimum time ahead in the comparison of values now and later: the time to the next call. */
+    private static final long MIN_HORIZON_US = SECOND_US;
+    /** Maximum time ahead in that comparison: the time in which values fall at most. */
+    private static final long MAX_HORIZON_US = 10 * SECOND_US;
+    /** Value share of a message over quota: a courier sees only a part of what the tenant sends. */
+    private static final double OVER_QUOTA_VALUE_SHARE = 0.25;
+    /** Messages of a tenant that may come in a burst by chance and still count as within its quota. */
+    private static final double QUOTA_BURST_MESSAGES = 10;
+    /** Share of the store kept free by refusing the least valuable: a full store rejects whatever comes. */
+    private static final double STORE_RESERVE_SHARE = 0.05;
+    /** A message is ended this long before its latest end: enough for two rounds with the host. */
     private static final long END_MARGIN_US = 12_000;
-
-    private static final double KEY_MARGIN = 0.05;
-    /** Growth a second of the idle time that connections are trusted to bear: a minute trebles it. */
-    private static final double TRUST_GROWTH = 1.02;
-    /** Share of the idle close that is trusted whatever fails: so short an idleness kills no connection. */
-    private static final double TRUST_LEAST = 0.125;
-    /** Couriers that each meet all destinations often, and may all keep idle connections. A default. */
-    private static final int FEW_COURIERS = 6;
-    /** How long a connection may wait for its next use, us; and where there is no room, in calls' time. */
-    private static final double REUSE_US = 5 * SECOND_US;
-
-    private static final double REUSE_CALLS = 2;
-    /** First and longest back-off of asking for the list again, us: soon, but without burdening it. */
-    private static final long ASK_LEAST_US = SECOND_US / 2;
-
-    private static final long ASK_MOST_US = 3 * SECOND_US;
-    /** How soon a message that an endpoint or a key holds back is looked at again, us. */
-    private static final long POLL_US = 20_000;
+    /** Share of a key's dedup window that is not used, because clocks differ. */
+    private static final double KEY_WINDOW_MARGIN_SHARE = 0.05;
+    /** Growth per second of the idle time that connections are trusted to survive: threefold in a minute. */
+    private static final double TRUSTED_IDLE_GROWTH = 1.02;
+    /** Share of the idle timeout that is always trusted: so short an idle time kills no connection. */
+    private static final double MIN_TRUSTED_IDLE_SHARE = 0.125;
+    /** Couriers in a small fleet: each uses all destinations often, and all may keep idle connections. */
+    private static final int SMALL_FLEET = 6;
+    /** Longest time to the next use for which a large fleet keeps an idle connection. */
+    private static final double MAX_REUSE_US = 5 * SECOND_US;
+    /** The same where the endpoint had no room for a connection, in multiples of a call's expected time. */
+    private static final double FULL_REUSE_CALLS = 2;
+    /** First backoff before the list is requested again: soon, without overloading its source. */
+    private static final long MIN_LIST_BACKOFF_US = SECOND_US / 2;
+    /** Longest backoff before the list is requested again. */
+    private static final long MAX_LIST_BACKOFF_US = 3 * SECOND_US;
+    /** Interval at which a message that an endpoint or its key blocks is looked at again. */
+    private static final long POLL_INTERVAL_US = 20_000;
 
     private static final long NEVER = RouteState.NEVER;
     private static final long UNKNOWN = Long.MIN_VALUE;
 
     private final Settings settings;
     private final Limits limits;
-    private final RuleParameters guarantees;
+    private final RuleParameters rules;
     private final Actions actions;
     private final Random random;
     private final DestinationTable destinations;
-    /** Lanes of which some endpoint may get nothing now. */
-    private final Set<Route> troubled = new LinkedHashSet<>();
-    /** Destinations with messages: all that a decision looks at, however long the list is. */
+    /** Routes that may have an endpoint without calls now. */
+    private final Set<Route> impairedRoutes = new LinkedHashSet<>();
+    /** Destinations with open messages; a decision looks at no others, however long the list is. */
     private final Map<Long, DestinationState> busy = new TreeMap<>();
 
-    private final Map<String, Delivery> jobs = new LinkedHashMap<>();
+    private final Map<String, Delivery> deliveries = new LinkedHashMap<>();
     private final Map<String, KeyQueue> keys = new LinkedHashMap<>();
     private final double[] classMeanUs;
     private final int[] classSamples;
-    private final long[] quotaUs;
-    private final TreeSet<Long> wakes = new TreeSet<>();
-    private int callsOut, open;
-    private double trustUs;
+    private final long[] quotaUsedUntilUs;
+    private final TreeSet<Long> wakesUs = new TreeSet<>();
+    private int inFlight, open;
+    private double trustedIdleUs;
     private long nowUs, nextStepUs, stopUs = NEVER;
     private boolean subscribed;
-    private long askAgainUs = NEVER, askBackOffUs = ASK_LEAST_US;
+    private long listRetryUs = NEVER, listBackoffUs = MIN_LIST_BACKOFF_US;
 
-    /** A courier that knows nothing yet but its settings; {@code seed} is its only source of chance. */
+    /** A courier with an empty list of endpoints; {@code seed} is its only source of randomness. */
     public Control(final Settings settings, final long seed, final Actions actions) {
         this(settings, seed, actions, new EndpointMap(), Integer.MAX_VALUE);
     }
 
-    /** As above, with the host's list, and what is learned of at most so many destinations at rest. */
+    /** As above, with the host's list; keeps the state of at most {@code maxIdle} idle destinations. */
     public Control(
             final Settings settings,
             final long seed,
             final Actions actions,
             final Directory directory,
-            final int mostResting) {
+            final int maxIdle) {
         this.settings = settings;
         this.destinations = new DestinationTable(
-                settings, directory, mostResting, this::newLane, this::step, this::rest, this::isSettled);
+                settings, directory, maxIdle, this::newRoute, this::step, this::catchUp, this::mayForget);
         this.limits = settings.limits();
-        this.guarantees = settings.ruleParameters();
+        this.rules = settings.ruleParameters();
         this.actions = actions;
         this.random = new Random(seed);
         this.classMeanUs = settings.classes().stream()
-                .mapToDouble(k -> UNSEEN_SHARE * k.targetUs())
+                .mapToDouble(messageClass -> INITIAL_TARGET_SHARE * messageClass.targetUs())
                 .toArray();
         this.classSamples = new int[classMeanUs.length];
-        this.trustUs = limits.idleTimeoutUs();
-        this.quotaUs = new long[settings.tenants().size()];
+        this.trustedIdleUs = limits.idleTimeoutUs();
+        this.quotaUsedUntilUs = new long[settings.tenants().size()];
     }
 
-    // ---------------------------------------------------------------- events
-
     @Override
     public void onMessage(final long now, final Message message) {
         nowUs = now;
-        final Delivery job = new Delivery(message, settings.classes().get(message.messageClass()));
-        jobs.put(message.id(), job);
+        final Delivery delivery = new Delivery(message, settings.classes().get(message.messageClass()));
+        deliveries.put(message.id(), delivery);
         open++;
-        job.overQuota = overQuota(message.tenant());
-        job.destination = destinations.activate(message.destination());
-        job.destination.enqueue(job);
-        job.destination.openMessages++;
-        busy.put(message.destination(), job.destination);
-        if (job.kind.ordered() && message.key() != null) {
-            job.line = keys.computeIfAbsent(message.key(), key -> new KeyQueue());
-            job.line.ids.add(message.id());
+        delivery.overQuota = overQuota(message.tenant());
+        delivery.destination = destinations.activate(message.destination());
+        delivery.destination.enqueue(delivery);
+        delivery.destination.openMessages++;
+        busy.put(message.destination(), delivery.destination);
+        if (delivery.messageClass.ordered() && message.key() != null) {
+            delivery.keyQueue = keys.computeIfAbsent(message.key(), key -> new KeyQueue());
+            delivery.keyQueue.messageIds.add(message.id());
         }
     }
 
     @Override
     public void onNoticePending(final long now, final String messageId, final String key) {
         nowUs = now;
-        final KeyQueue line = keys.computeIfAbsent(key, unused -> new KeyQueue());
-        line.owed.add(messageId);
-        if (!line.ids.contains(messageId)) {
-            line.ids.add(messageId);
+        final KeyQueue queue = keys.computeIfAbsent(key, unused -> new KeyQueue());
+        queue.notices.add(messageId);
+        if (!queue.messageIds.contains(messageId)) {
+            queue.messageIds.add(messageId);
         }
     }
 
     @Override
     public void onNoticeAnswered(final long now, final String messageId, final String key) {
         nowUs = now;
-        final KeyQueue line = keys.get(key);
-        if (line != null && line.owed.remove(messageId)) {
-            line.ids.remove(messageId);
+        final KeyQueue queue = keys.get(key);
+        if (queue != null && queue.notices.remove(messageId)) {
+            queue.messageIds.remove(messageId);
         }
     }
 
     @Override
-    public void onMessageResumed(final long now, final Message message, final AttemptHistory past) {
+    public void onMessageResumed(final long now, final Message message, final AttemptHistory history) {
         onMessage(now, message);
-        final Delivery job = jobs.get(message.id());
-        job.attempts = past.attempts();
-        job.mayHaveRun = past.mayHaveTakenEffect();
-        if (job.mayHaveRun) {
-            job.firstRunUs = past.firstEffectUs();
-            job.runZone = past.effectZone();
-            if (job.line != null) {
-                job.line.restUntilUs = nowUs + guarantees.orderingDelayUs();
+        final Delivery delivery = deliveries.get(message.id());
+        delivery.attempts = history.attempts();
+        delivery.mayHaveTakenEffect = history.mayHaveTakenEffect();
+        if (delivery.mayHaveTakenEffect) {
+            delivery.firstEffectUs = history.firstEffectUs();
+            delivery.effectZone = history.effectZone();
+            if (delivery.keyQueue != null) {
+                delivery.keyQueue.blockedUntilUs = nowUs + rules.orderingDelayUs();
             }
         }
-        final EndpointState node = past.inheritedCall() == null
+        final EndpointState endpoint = history.inheritedCall() == null
                 ? null
-                : destinations.endpoint(past.inheritedCall().endpoint());
-        if (node != null) {
-            goesOn(job, node, past.inheritedCall().sentUs());
+                : destinations.endpoint(history.inheritedCall().endpoint());
+        if (endpoint != null) {
+            restoreCall(delivery, endpoint, history.inheritedCall().sentUs());
         }
     }
 
-    /** A call of the process before this one holds slot and place; messages sent at once share one. */
-    private void goesOn(final Delivery job, final EndpointState node, final long sentUs) {
-        final int most = node.route.destinationKind.messagesPerCall();
-        final Call call = node.route.calls.stream()
-                .filter(one -> one.node == node && one.sentUs == sentUs && one.messages < most)
+    /** Restores a predecessor's call in flight, with its slot; messages sent at one time share a call. */
+    private void restoreCall(final Delivery delivery, final EndpointState endpoint, final long sentUs) {
+        final int maxMessages = endpoint.route.destinationKind.messagesPerCall();
+        final Call call = endpoint.route.calls.stream()
+                .filter(one -> one.endpoint == endpoint && one.sentUs == sentUs && one.messages < maxMessages)
                 .findFirst()
                 .orElseGet(Call::new);
         if (call.messages++ == 0) {
-            call.node = node;
+            call.endpoint = endpoint;
             call.sentUs = sentUs;
-            callsOut++;
-            node.callsInFlight++;
-            node.route.calls.add(call);
+            inFlight++;
+            endpoint.inFlight++;
+            endpoint.route.calls.add(call);
         }
-        call.carry(job, (long) expectedUs(node.route, job));
-        job.destination.dequeue(job);
+        call.add(delivery, (long) expectedUs(endpoint.route, delivery));
+        delivery.destination.dequeue(delivery);
     }
 
     @Override
     public void onAttemptInterrupted(final long now, final String messageId) {
         nowUs = now;
-        final Delivery job = jobs.get(messageId);
-        if (job != null && job.call != null) {
-            settle(job, Result.CANCELLED);
-            goOn(job, false);
+        final Delivery delivery = deliveries.get(messageId);
+        if (delivery != null && delivery.call != null) {
+            finishAttempt(delivery, Result.CANCELLED);
+            endOrEnqueue(delivery, false);
         }
     }
 
     @Override
-    public EndpointSnapshot snapshot(final long now, final long endpoint) {
-        final Map<String, Double> figures = new TreeMap<>();
+    public EndpointSnapshot snapshot(final long now, final long endpointId) {
+        final Map<String, Double> values = new TreeMap<>();
         final Map<String, Long> times = new TreeMap<>();
-        final EndpointState node = destinations.knownEndpoint(endpoint);
-        if (node != null) {
-            final Route lane = node.route;
-            lane.writeTo(figures, times);
-            for (int kind = 0; kind < classMeanUs.length; kind++) {
-                figures.put("mean." + kind, classMeanUs[kind]);
-                figures.put("samples." + kind, (double) classSamples[kind]);
-                figures.put("bad." + kind, (double) node.badRun[kind]);
-                times.put("avoid." + kind, node.avoidUntilUs[kind]);
+        final EndpointState endpoint = destinations.existingEndpoint(endpointId);
+        if (endpoint != null) {
+            final Route route = endpoint.route;
+            route.writeTo(values, times);
+            for (int index = 0; index < classMeanUs.length; index++) {
+                values.put("mean." + index, classMeanUs[index]);
+                values.put("samples." + index, (double) classSamples[index]);
+                values.put("bad." + index, (double) endpoint.failures[index]);
+                times.put("avoid." + index, endpoint.avoidUntilUs[index]);
             }
             times.values().removeIf(us -> us == 0);
         }
-        return new EndpointSnapshot(figures, times);
+        return new EndpointSnapshot(values, times);
     }
 
     @Override
-    public void onEndpointSnapshot(final long now, final long endpoint, final EndpointSnapshot standing) {
+    public void onEndpointSnapshot(final long now, final long endpointId, final EndpointSnapshot snapshot) {
         nowUs = now;
-        final EndpointState node = standing.values().isEmpty() ? null : destinations.endpoint(endpoint);
-        if (node == null) {
+        final EndpointState endpoint = snapshot.values().isEmpty() ? null : destinations.endpoint(endpointId);
+        if (endpoint == null) {
             return;
         }
-        final Map<String, Long> times = standing.timesUs();
-        final Route lane = node.route;
-        lane.readFrom(standing.values(), times);
-        for (int kind = 0; kind < classMeanUs.length; kind++) {
-            classMeanUs[kind] = standing.values().getOrDefault("mean." + kind, classMeanUs[kind]);
-            classSamples[kind] =
-                    standing.values().getOrDefault("samples." + kind, 0.0).intValue();
-            node.badRun[kind] =
-                    standing.values().getOrDefault("bad." + kind, 0.0).intValue();
-            node.avoidUntilUs[kind] = times.getOrDefault("avoid." + kind, 0L);
+        final Map<String, Long> times = snapshot.timesUs();
+        final Route route = endpoint.route;
+        route.readFrom(snapshot.values(), times);
+        for (int index = 0; index < classMeanUs.length; index++) {
+            classMeanUs[index] = snapshot.values().getOrDefault("mean." + index, classMeanUs[index]);
+            classSamples[index] =
+                    snapshot.values().getOrDefault("samples." + index, 0.0).intValue();
+            endpoint.failures[index] =
+                    snapshot.values().getOrDefault("bad." + index, 0.0).intValue();
+            endpoint.avoidUntilUs[index] = times.getOrDefault("avoid." + index, 0L);
         }
     }
 
@@ -353,53 +346,52 @@
     @Override
     public void onOutcome(final long now, final Outcome outcome) {
         nowUs = now;
-        final Delivery job = jobs.get(outcome.messageId());
-        if (job == null || job.call == null) {
+        final Delivery delivery = deliveries.get(outcome.messageId());
+        if (delivery == null || delivery.call == null) {
             return;
         }
-        final Call call = settle(job, outcome.result());
-        judge(call.node, call, job, outcome);
-        goOn(job, outcome.isFinal());
+        final Call call = finishAttempt(delivery, outcome.result());
+        applyOutcome(call.endpoint, call, delivery, outcome);
+        endOrEnqueue(delivery, outcome.isFinal());
     }
 
     @Override
-    public void onRetryAfter(final long now, final long endpoint, final long waitUs) {
+    public void onRetryAfter(final long now, final long id, final long waitUs) {
         nowUs = now;
-        Optional.ofNullable(destinations.endpoint(endpoint)).ifPresent(node -> wait(node.route, waitUs));
+        Optional.ofNullable(destinations.endpoint(id)).ifPresent(endpoint -> addWait(endpoint.route, waitUs));
     }
 
-    private void wait(final Route lane, final long waitUs) {
-        lane.retryAfterUntilUs = Math.max(lane.retryAfterUntilUs, nowUs + waitUs);
+    private void addWait(final Route route, final long waitUs) {
+        route.retryAfterUntilUs = Math.max(route.retryAfterUntilUs, nowUs + waitUs);
     }
 
-    /** With no attempt out: a message that is over ends, another waits for its next turn. */
-    private void goOn(final Delivery job, final boolean over) {
-        if (over || job.over) {
-            end(job);
+    private void endOrEnqueue(final Delivery delivery, final boolean isFinal) {
+        if (isFinal || delivery.ended) {
+            end(delivery);
         } else {
-            job.destination.enqueue(job);
+            delivery.destination.enqueue(delivery);
         }
     }
 
-    /** An attempt is out no more: what that says of the message, and what it frees. */
-    private Call settle(final Delivery job, final Result result) {
-        final Call call = job.call;
-        final EndpointState node = call.node;
-        job.call = null;
+    /** Notes whether an ended attempt may have taken effect, and frees its call slot. */
+    private Call finishAttempt(final Delivery delivery, final Result result) {
+        final Call call = delivery.call;
+        final EndpointState endpoint = call.endpoint;
+        delivery.call = null;
         if (!result.hadNoEffect()) {
-            job.mayHaveRun = true;
-            job.firstRunUs = Math.min(job.firstRunUs, call.sentUs);
-            job.runZone = node.entry.zone();
-            if (job.line != null && !result.isAnswered()) {
-                job.line.restUntilUs = nowUs + guarantees.orderingDelayUs();
+            delivery.mayHaveTakenEffect = true;
+            delivery.firstEffectUs = Math.min(delivery.firstEffectUs, call.sentUs);
+            delivery.effectZone = endpoint.entry.zone();
+            if (delivery.keyQueue != null && !result.isAnswered()) {
+                delivery.keyQueue.blockedUntilUs = nowUs + rules.orderingDelayUs();
             }
         }
         if (--call.messages == 0) {
-            callsOut--;
-            node.callsInFlight--;
-            node.route.calls.remove(call);
-            node.lastUseUs = nowUs;
-            shareConnections(node, call);
+            inFlight--;
+            endpoint.inFlight--;
+            endpoint.route.calls.remove(call);
+            endpoint.lastUseUs = nowUs;
+            releaseConnections(endpoint, call);
         }
         return call;
     }
@@ -407,7 +399,7 @@
     @Override
     public void onExpired(final long now, final String messageId) {
         nowUs = now;
-        Optional.ofNullable(jobs.get(messageId)).ifPresent(this::end);
+        Optional.ofNullable(deliveries.get(messageId)).ifPresent(this::end);
     }
 
     @Override
@@ -416,26 +408,26 @@
         nextStepUs = nextStepUs == 0 ? nowUs + SECOND_US : nextStepUs;
         if (nowUs >= nextStepUs) {
             destinations.step();
-            trustUs = Math.min(limits.idleTimeoutUs(), TRUST_GROWTH * trustUs);
-            keys.values().removeIf(line -> line.ids.isEmpty() && line.restUntilUs <= nowUs);
+            trustedIdleUs = Math.min(limits.idleTimeoutUs(), TRUSTED_IDLE_GROWTH * trustedIdleUs);
+            keys.values().removeIf(queue -> queue.messageIds.isEmpty() && queue.blockedUntilUs <= nowUs);
             nextStepUs += SECOND_US * ((nowUs - nextStepUs) / SECOND_US + 1);
         }
-        keepList();
-        watch();
+        subscribeIfDue();
+        checkTimes();
         dispatch();
         reclaimSlot();
-        makeRoom();
-        sleep();
+        shedMessages();
+        scheduleWake();
     }
 
     @Override
     public String describe(final long id) {
-        final StringBuilder text = new StringBuilder("slots ").append(callsOut + "/" + limits.maxCalls());
+        final StringBuilder text = new StringBuilder("slots ").append(inFlight + "/" + limits.maxCalls());
         final DestinationState destination = destinations.get(id);
         if (destination != null) {
             text.append(", waiting ").append(destination.waiting.size());
-            destination.routes.forEach(lane -> text.append("; " + lane.destinationKind.name() + " ")
-                    .append(lane.describe(lane.calls.size() + "/" + cap(lane), nowUs)));
+            destination.routes.forEach(route -> text.append("; " + route.destinationKind.name() + " ")
+                    .append(route.describe(route.calls.size() + "/" + maxInFlight(route), nowUs)));
         }
         return text.toString();
     }
@@ -443,473 +435,476 @@
     @Override
     public int avoidedEndpoints(final long now) {
         int count = 0;
-        for (final Route lane : List.copyOf(troubled)) {
-            final long avoided = lane.endpoints.stream()
-                    .filter(node -> node.condition != Condition.GONE && isAvoided(node, now))
+        for (final Route route : List.copyOf(impairedRoutes)) {
+            final long avoided = route.endpoints.stream()
+                    .filter(endpoint -> endpoint.condition != Condition.GONE && isAvoided(endpoint, now))
                     .count();
             count += (int) avoided;
             if (avoided == 0) {
-                troubled.remove(lane);
+                impairedRoutes.remove(route);
             }
         }
         return count;
     }
 
-    /** What is held and how much was visited so far. */
+    /** Number of destinations with state, and the work done since the start. */
     public Workload workload() {
         return destinations.workload();
     }
 
-    private static boolean isAvoided(final EndpointState node, final long now) {
-        return node.out
-                || node.route.phase == Phase.PROBE
-                || Arrays.stream(node.avoidUntilUs).allMatch(untilUs -> untilUs > now);
+    private static boolean isAvoided(final EndpointState endpoint, final long now) {
+        return endpoint.disabled
+                || endpoint.route.phase == Phase.PROBE
+                || Arrays.stream(endpoint.avoidUntilUs).allMatch(untilUs -> untilUs > now);
     }
 
     // ---------------------------------------------------------------- dispatch
 
-    /** Sends, best first, until no slot is free or no message may go; a send changes its destination only. */
+    /** Sends the most urgent messages while slots are free; each send changes one destination's candidate. */
     private void dispatch() {
         final Map<DestinationState, Delivery> candidates = new LinkedHashMap<>();
-        while (callsOut < limits.maxCalls()) {
+        while (inFlight < limits.maxCalls()) {
             if (candidates.isEmpty()) {
-                busy.values().forEach(destination -> candidates.put(destination, best(destination, true)));
+                busy.values().forEach(each -> candidates.put(each, nextDelivery(each, true)));
             }
             Delivery best = null;
-            for (final Delivery job : candidates.values()) {
-                best = job != null && (best == null || job.urgency > best.urgency) ? job : best;
+            for (final Delivery next : candidates.values()) {
+                best = next != null && (best == null || next.sendPriority > best.sendPriority) ? next : best;
             }
             if (best == null) {
                 return;
             }
-            send(best, best.lane);
-            candidates.put(best.destination, best(best.destination, true));
+            send(best, best.route);
+            candidates.put(best.destination, nextDelivery(best.destination, true));
         }
     }
 
-    /** The most urgent of a destination's messages that may go (with trials or without), or null. */
-    private Delivery best(final DestinationState destination, final boolean trials) {
+    /** A destination's most urgent message that may be sent, or null; without probes by HEALTHY routes. */
+    private Delivery nextDelivery(final DestinationState destination, final boolean probes) {
         Delivery best = null;
-        for (final Route lane : destination.routes) {
-            final boolean open = openAtUs(lane) <= nowUs && (trials || lane.phase == Phase.HEALTHY);
-            destinations.countExaminedMessages(open ? destination.waiting.size() : 0);
-            final Delivery job = open ? pick(destination, lane, null) : null;
-            best = job != null && (best == null || job.urgency > best.urgency) ? job : best;
+        for (final Route route : destination.routes) {
+            final boolean mayCall = nextCallUs(route) <= nowUs && (probes || route.phase == Phase.HEALTHY);
+            destinations.countExaminedMessages(mayCall ? destination.waiting.size() : 0);
+            final Delivery next = mayCall ? select(destination, route, null) : null;
+            best = next != null && (best == null || next.sendPriority > best.sendPriority) ? next : best;
         }
         return best;
     }
 
-    /** When a lane's waits, guards and exact limit let a call go; never, while its window is full. */
-    private long openAtUs(final Route lane) {
-        if (lane.calls.size() >= cap(lane)) {
+    /** Earliest next call of a route by its waits, phase and exact limit; NEVER while its window is full. */
+    private long nextCallUs(final Route route) {
+        if (route.calls.size() >= maxInFlight(route)) {
             return NEVER;
         }
         final boolean exact =
-                (settings.weightMeaning() == WeightMeaning.NOMINAL || lane.exactLimit) && lane.rateLimit > 0;
-        final double rate = exact ? Math.min(part(lane), lane.sendsPerSecond) : lane.sendsPerSecond;
-        final double rampShare = tippingShare(nowUs - lane.warmupFromUs);
-        final long guardUs =
-                switch (lane.phase) {
-                    case HEALTHY -> lane.lastSendUs + (long) (SECOND_US / rate);
-                    case PROBE -> lane.calls.isEmpty() ? lane.nextProbeUs : NEVER;
-                    case WARMUP -> lane.lastSendUs + (long) (lane.warmupIntervalUs / rampShare);
+                (settings.weightMeaning() == WeightMeaning.NOMINAL || route.exactRate) && route.rateLimit > 0;
+        final double rate = exact ? Math.min(limitPart(route), route.sendsPerSecond) : route.sendsPerSecond;
+        final double warmupShare = overloadShare(nowUs - route.warmupFromUs);
+        final long phaseUs =
+                switch (route.phase) {
+                    case HEALTHY -> route.lastSendUs + (long) (SECOND_US / rate);
+                    case PROBE -> route.calls.isEmpty() ? route.nextProbeUs : NEVER;
+                    case WARMUP -> route.lastSendUs + (long) (route.warmupIntervalUs / warmupShare);
                 };
-        return Math.max(guardUs, Math.max(lane.retryAfterUntilUs, lane.backoffUntilUs));
+        return Math.max(phaseUs, Math.max(route.retryAfterUntilUs, route.backoffUntilUs));
     }
 
-    /**
-     * This courier's part of a told limit, a second: its even part, less a little, so that a limit that
-     * refused calls use up as well recovers; and more, the more of it was left or may be again by now.
-     */
-    private double part(final Route lane) {
-        final double refilled = REFILL / settings.fleetSize() * (nowUs - lane.leftAtUs) / SECOND_US;
-        final double more = PART_GROWTH * Math.pow(Math.min(1, lane.left + refilled), PART_POWER);
-        return lane.rateLimit * Math.min(1, (PART_LEAST + more) / settings.fleetSize());
+    /** This courier's rate within a limit. Refused calls use it up, too: below its even part, it recovers. */
+    private double limitPart(final Route route) {
+        final double refill = REFILL_PER_S / settings.fleetSize() * (nowUs - route.reportedUs) / SECOND_US;
+        final double more =
+                MORE_LIMIT_PARTS * Math.pow(Math.min(1, route.remainingShare + refill), LIMIT_PART_EXPONENT);
+        return route.rateLimit * Math.min(1, (MIN_LIMIT_PARTS + more) / settings.fleetSize());
     }
 
-    /** Calls that a lane may have in flight now: its window, within its share of the slots. */
-    private int cap(final Route lane) {
-        final double share = lane.phase == Phase.HEALTHY && !lane.degraded ? HEALTHY_SHARE : SICK_SHARE;
-        return (int) Math.max(1, Math.floor(Math.min(lane.window, share * limits.maxCalls())));
+    private int maxInFlight(final Route route) {
+        final double share = route.phase == Phase.HEALTHY && !route.degraded ? HEALTHY_SHARE : DEGRADED_SHARE;
+        return (int) Math.max(1, Math.floor(Math.min(route.window, share * limits.maxCalls())));
     }
 
-    /** The most urgent message for a lane (a node, if given); trials risk first what is lost anyway. */
-    private Delivery pick(final DestinationState destination, final Route lane, final EndpointState node) {
+    /** A route's most urgent message (for one endpoint if given); probes use what has least to lose first. */
+    private Delivery select(final DestinationState destination, final Route route, final EndpointState only) {
         Delivery best = null;
         int bestRisk = 0;
         double bestUrgency = 0;
-        final long lineUs = destination.lineUs();
-        for (final Delivery job : destination.waiting) {
-            if (!inTurn(job)
-                    || !endsInTime(lane, job)
-                    || node == null && choose(lane, job) == null
-                    || node != null && !zoneAllows(job, node)) {
+        final long queueUs = destination.queueUs();
+        for (final Delivery delivery : destination.waiting) {
+            if (!keyAllows(delivery)
+                    || !endsBeforeStop(route, delivery)
+                    || only == null && chooseEndpoint(route, delivery) == null
+                    || only != null && !zoneAllows(delivery, only)) {
                 continue;
             }
-            final double urgency = urgency(lane, job, lineUs);
-            final int risk = lane.phase != Phase.PROBE || job.mayHaveRun
+            final double urgency = urgency(route, delivery, queueUs);
+            final int risk = route.phase != Phase.PROBE || delivery.mayHaveTakenEffect
                     ? 0
-                    : 1 + job.kind.effect().ordinal();
+                    : 1 + delivery.messageClass.effect().ordinal();
             if (best == null || risk < bestRisk || risk == bestRisk && urgency > bestUrgency) {
-                best = job;
+                best = delivery;
                 bestRisk = risk;
                 bestUrgency = urgency;
-                job.lane = lane;
-                // With the store over half full some will not be served: slots go where they serve most.
-                job.urgency = urgency / (2 * open > limits.maxOpenMessages() ? expectedUs(lane, job) : 1);
+                delivery.route = route;
+                // With the store over half full, some will not be served: prefer value per time of a slot.
+                delivery.sendPriority =
+                        urgency / (2 * open > limits.maxOpenMessages() ? expectedUs(route, delivery) : 1);
             }
         }
         return best;
     }
 
-    /** What a message loses by waiting for as long as its destination's line takes. */
-    private double urgency(final Route lane, final Delivery job, final long lineUs) {
-        final long horizonUs = (long) clamp(lineUs, HORIZON_LEAST_US, HORIZON_MOST_US);
-        final long doneUs = nowUs + (long) expectedUs(lane, job);
-        final double kept = KEPT / (1 + (double) horizonUs / HORIZON_MOST_US);
-        return worth(job, doneUs) - kept * worth(job, doneUs + horizonUs);
+    /** The value that a message loses by waiting for as long as its destination's queue takes. */
+    private double urgency(final Route route, final Delivery delivery, final long queueUs) {
+        final long horizonUs = (long) clamp(queueUs, MIN_HORIZON_US, MAX_HORIZON_US);
+        final long doneUs = nowUs + (long) expectedUs(route, delivery);
+        final double deliveryChance = LATER_DELIVERY_CHANCE / (1 + (double) horizonUs / MAX_HORIZON_US);
+        return valueAt(delivery, doneUs) - deliveryChance * valueAt(delivery, doneUs + horizonUs);
     }
 
-    /** The worth of a message delivered at a given time; a key's window ends it like the deadline does. */
-    private double worth(final Delivery job, final long atUs) {
-        final MessageClass kind = job.kind;
-        if (atUs >= job.keyEndUs()) {
+    /** The value of a message delivered at a given time; 0 after its deadline or its key's dedup window. */
+    private double valueAt(final Delivery delivery, final long atUs) {
+        final MessageClass messageClass = delivery.messageClass;
+        if (atUs >= delivery.keyEndUs()) {
             return 0;
         }
-        final double full = kind.value() * (job.overQuota ? OVER_QUOTA : 1);
-        final long lateUs = Math.max(0, atUs - job.aimUs);
+        final double fullValue = messageClass.value() * (delivery.overQuota ? OVER_QUOTA_VALUE_SHARE : 1);
+        final long lateUs = Math.max(0, atUs - delivery.targetUs);
         if (settings.valueDecay() == ValueDecay.HALVING) {
-            final double halvings = (double) lateUs / Math.max(1, kind.targetUs());
-            return full * Math.max(kind.lateValue(), Math.pow(0.5, halvings));
+            final double halvings = (double) lateUs / Math.max(1, messageClass.targetUs());
+            return fullValue * Math.max(messageClass.lateValue(), Math.pow(0.5, halvings));
         }
-        final long fadeUs = Math.max(1, kind.deadlineUs() - kind.targetUs());
-        return full * (1 - (1 - kind.lateValue()) * lateUs / fadeUs);
+        final long fadeUs = Math.max(1, messageClass.deadlineUs() - messageClass.targetUs());
+        return fullValue * (1 - (1 - messageClass.lateValue()) * lateUs / fadeUs);
     }
 
-    /** The best endpoint of a lane for a message now, or null. */
-    private EndpointState choose(final Route lane, final Delivery job) {
+    /** The least loaded endpoint that may get a message, or null; in PROBE, the one called longest ago. */
+    private EndpointState chooseEndpoint(final Route route, final Delivery delivery) {
         EndpointState best = null;
         double bestLoad = 0;
-        final int kind = job.message.messageClass();
-        for (final EndpointState node : lane.endpoints) {
-            if (node.condition != Condition.LISTED
-                    || node.out
-                    || coldUntilUs(node) > nowUs
-                    || !zoneAllows(job, node)
-                    || lane.phase == Phase.HEALTHY && nowUs < node.avoidUntilUs[kind]) {
+        final int index = delivery.message.messageClass();
+        for (final EndpointState endpoint : route.endpoints) {
+            if (endpoint.condition != Condition.LISTED
+                    || endpoint.disabled
+                    || coldUntilUs(endpoint) > nowUs
+                    || !zoneAllows(delivery, endpoint)
+                    || route.phase == Phase.HEALTHY && nowUs < endpoint.avoidUntilUs[index]) {
                 continue;
             }
-            final boolean handshake = node.callsInFlight >= node.connections * limits.streamsPerConnection()
-                    || node.callsInFlight == 0 && nowUs - node.lastUseUs >= limits.idleTimeoutUs();
-            final boolean cross = !node.entry.zone().equals(settings.zone());
-            final double near = node.callsInFlight + node.badRun[kind] + (handshake ? HANDSHAKE_LOAD : 0);
-            final double load = lane.phase == Phase.PROBE ? node.lastSendUs : near + (cross ? CROSS_LOAD : 0);
+            final boolean connect = endpoint.inFlight >= endpoint.connections * limits.streamsPerConnection()
+                    || endpoint.inFlight == 0 && nowUs - endpoint.lastUseUs >= limits.idleTimeoutUs();
+            final boolean remote = !endpoint.entry.zone().equals(settings.zone());
+            final double sum = endpoint.inFlight + endpoint.failures[index] + (connect ? HANDSHAKE_CALLS : 0);
+            final double load =
+                    route.phase == Phase.PROBE ? endpoint.lastSendUs : sum + (remote ? OTHER_ZONE_CALLS : 0);
             if (best == null || load < bestLoad) {
-                best = node;
+                best = endpoint;
                 bestLoad = load;
             }
         }
         return best;
     }
 
-    /** Until when an endpoint that was put back gets nothing more: it is cold, and may not be tipped. */
-    private long coldUntilUs(final EndpointState node) {
-        final long sinceUs = nowUs - node.backUs;
-        if (node.backUs == 0 || sinceUs > guarantees.warmupUs()) {
+    /** Earliest next call of an endpoint enabled again by operators: a cold one must not be overloaded. */
+    private long coldUntilUs(final EndpointState endpoint) {
+        final long sinceUs = nowUs - endpoint.enabledUs;
+        if (endpoint.enabledUs == 0 || sinceUs > rules.warmupUs()) {
             return 0;
         }
-        final double apartUs = apartUs(node.route) * node.route.endpoints.size();
-        return node.lastSendUs + (long) (apartUs / tippingShare(sinceUs));
+        final double intervalUs = callIntervalUs(endpoint.route) * endpoint.route.endpoints.size();
+        return endpoint.lastSendUs + (long) (intervalUs / overloadShare(sinceUs));
     }
 
-    /** False where an earlier attempt may have run and this endpoint would not know the repeat. */
-    private static boolean zoneAllows(final Delivery job, final EndpointState node) {
-        return !job.mayHaveRun || !job.kind.dedupPerZone() || node.entry.zone().equals(job.runZone);
+    /** False if an earlier attempt may have taken effect and this endpoint would not recognize the repeat. */
+    private static boolean zoneAllows(final Delivery delivery, final EndpointState endpoint) {
+        return !delivery.mayHaveTakenEffect
+                || !delivery.messageClass.dedupPerZone()
+                || endpoint.entry.zone().equals(delivery.effectZone);
     }
 
-    /** Rule on order: the first of its key goes, and only after the rest that an open attempt asks for. */
-    private boolean inTurn(final Delivery job) {
-        final KeyQueue line = job.line;
-        return line == null
-                || line.ids.get(0).equals(job.message.id()) && (job.mayHaveRun || line.restUntilUs <= nowUs);
+    /** Only a key's first message is sent; after an unanswered attempt, the next waits the ordering delay. */
+    private boolean keyAllows(final Delivery delivery) {
+        final KeyQueue queue = delivery.keyQueue;
+        return queue == null
+                || queue.messageIds.get(0).equals(delivery.message.id())
+                        && (delivery.mayHaveTakenEffect || queue.blockedUntilUs <= nowUs);
     }
 
-    /** False for a call that the end of this process would likely cut off: the next one may send it. */
-    private boolean endsInTime(final Route lane, final Delivery job) {
-        final double times = job.kind.effect() == Effect.UNSAFE ? OVERDUE_TIMES : STOP_TIMES;
-        return stopUs == NEVER || nowUs + times * expectedUs(lane, job) < stopUs;
+    /** False for a call that the end of this process would likely interrupt: the successor may send it. */
+    private boolean endsBeforeStop(final Route route, final Delivery delivery) {
+        final double times = delivery.messageClass.effect() == Effect.UNSAFE ? OVERDUE_FACTOR : STOP_FACTOR;
+        return stopUs == NEVER || nowUs + times * expectedUs(route, delivery) < stopUs;
     }
 
-    /** Sends a message and, where calls are shared, those that wait with it. */
-    private void send(final Delivery first, final Route lane) {
-        final EndpointState node = choose(lane, first);
+    /** Sends a message, with others that wait if its destination takes several per call. */
+    private void send(final Delivery firstDelivery, final Route route) {
+        final EndpointState endpoint = chooseEndpoint(route, firstDelivery);
         final Call call = new Call();
-        call.node = node;
+        call.endpoint = endpoint;
         call.sentUs = nowUs;
-        callsOut++;
-        lane.calls.add(call);
-        lane.peak = Math.max(lane.peak, lane.calls.size());
-        if (node.callsInFlight++ == 0) {
-            checkIdle(call, node, first);
+        inFlight++;
+        route.calls.add(call);
+        route.peakCalls = Math.max(route.peakCalls, route.calls.size());
+        if (endpoint.inFlight++ == 0) {
+            checkIdleConnection(call, endpoint, firstDelivery);
         }
         final int streams = limits.streamsPerConnection();
-        node.connections = Math.max(node.connections, (node.callsInFlight + streams - 1) / streams);
-        node.lastSendUs = lane.lastSendUs = nowUs;
-        if (lane.phase == Phase.PROBE) {
-            lane.nextProbeUs = trialUs(lane);
-        }
-        Delivery job = first;
-        final boolean alone = lane.phase == Phase.PROBE;
-        while (job != null) {
+        endpoint.connections = Math.max(endpoint.connections, (endpoint.inFlight + streams - 1) / streams);
+        endpoint.lastSendUs = route.lastSendUs = nowUs;
+        if (route.phase == Phase.PROBE) {
+            route.nextProbeUs = probeTimeUs(route);
+        }
+        Delivery delivery = firstDelivery;
+        final boolean single = route.phase == Phase.PROBE;
+        while (delivery != null) {
             call.messages++;
-            call.carry(job, (long) expectedUs(lane, job));
-            job.attempts++;
-            job.destination.dequeue(job);
-            actions.send(job.message.id(), node.entry.id(), timeoutUs(lane, job));
-            final boolean full = alone || call.messages >= lane.destinationKind.messagesPerCall();
-            job = full ? null : pick(job.destination, lane, node);
+            call.add(delivery, (long) expectedUs(route, delivery));
+            delivery.attempts++;
+            delivery.destination.dequeue(delivery);
+            actions.send(delivery.message.id(), endpoint.entry.id(), timeoutUs(route, delivery));
+            final boolean isFull = single || call.messages >= route.destinationKind.messagesPerCall();
+            delivery = isFull ? null : select(delivery.destination, route, endpoint);
         }
     }
 
     /**
-     * An idle connection may be dead without a sign, wherever it died: when a call over one fails where all
-     * was well, none idle half as long is used for a while (a quarter, for unsafe ones). Costs handshakes.
+     * An idle connection may be dead unnoticed, at any endpoint. After a call over one fails on a route that
+     * had no failures, all idle for half as long (unsafe calls: a quarter) are closed before use for a while,
+     * at the cost of handshakes.
      */
-    private void checkIdle(final Call call, final EndpointState node, final Delivery job) {
-        final long idleUs = nowUs - node.lastUseUs;
-        if (node.connections > 0 && idleUs >= trustUs / (job.kind.effect() == Effect.UNSAFE ? 2 : 1)) {
-            node.connections = 0;
-            actions.closeIdleConnections(node.entry.id());
-        } else if (node.connections > 0) {
+    private void checkIdleConnection(final Call call, final EndpointState endpoint, final Delivery delivery) {
+        final long idleUs = nowUs - endpoint.lastUseUs;
+        if (endpoint.connections > 0
+                && idleUs >= trustedIdleUs / (delivery.messageClass.effect() == Effect.UNSAFE ? 2 : 1)) {
+            endpoint.connections = 0;
+            actions.closeIdleConnections(endpoint.entry.id());
+        } else if (endpoint.connections > 0) {
             call.idleUs = idleUs;
         }
     }
 
     /**
-     * An idle connection takes the place of another courier's: where they are many, it is closed unless its
-     * next use is some seconds away at most; and where a well endpoint had no room for one of ours, unless it
-     * is near. Guards against refused connections at well endpoints, and against a handshake a call.
+     * An idle connection takes the place of another courier's. A large fleet closes it unless its next use is
+     * seconds away, or sooner if the endpoint, though healthy, lately had no room for a connection. Avoids
+     * refused connections at healthy endpoints, and a handshake for each call.
      */
-    private void shareConnections(final EndpointState node, final Call call) {
-        final double reachUs = nowUs < node.fullUntilUs ? REUSE_CALLS * call.expectedUs : REUSE_US;
-        final boolean many = settings.fleetSize() > FEW_COURIERS;
-        if (many && node.route.servedRate * reachUs / SECOND_US < node.route.endpoints.size()) {
-            node.connections = 0;
-            actions.closeIdleConnections(node.entry.id());
+    private void releaseConnections(final EndpointState endpoint, final Call call) {
+        final double maxUs = nowUs < endpoint.fullUntilUs ? FULL_REUSE_CALLS * call.expectedUs : MAX_REUSE_US;
+        final boolean largeFleet = settings.fleetSize() > SMALL_FLEET;
+        if (largeFleet && endpoint.route.servedRate * maxUs / SECOND_US < endpoint.route.endpoints.size()) {
+            endpoint.connections = 0;
+            actions.closeIdleConnections(endpoint.entry.id());
         }
     }
 
     // ---------------------------------------------------------------- the fuzzy step
 
-    /** True for a lane without trouble, wait, guard or operator's mark: it may begin anew. */
-    private boolean isSettled(final Route lane) {
-        final boolean warm = lane.phase == Phase.WARMUP && nowUs - lane.warmupFromUs > guarantees.warmupUs();
-        return (warm || lane.phase == Phase.HEALTHY)
-                && lane.failingSinceUs == NEVER
-                && Math.max(lane.retryAfterUntilUs, lane.backoffUntilUs) <= nowUs
-                && lane.endpoints.stream().allMatch(one -> !isAvoided(one, nowUs) && coldUntilUs(one) == 0);
+    /** True for a route without failures, waits, outage, warmup or override: its state may be dropped. */
+    private boolean mayForget(final Route route) {
+        final boolean warm = route.phase == Phase.WARMUP && nowUs - route.warmupFromUs > rules.warmupUs();
+        return (warm || route.phase == Phase.HEALTHY)
+                && route.failingSinceUs == NEVER
+                && Math.max(route.retryAfterUntilUs, route.backoffUntilUs) <= nowUs
+                && route.endpoints.stream().allMatch(one -> !isAvoided(one, nowUs) && coldUntilUs(one) == 0);
     }
 
-    /** Moves a lane's window by Table I. */
-    private void step(final Route lane) {
-        final int bad = lane.bad + overdue(lane);
-        final int read = lane.served + lane.errors + bad;
-        if (lane.phase == Phase.HEALTHY) {
-            lane.servedRate += Math.max(SAMPLE_WEIGHT, 1.0 / ++lane.steps) * (lane.served - lane.servedRate);
+    /** Moves a route's window by Table I, and its send rate; called once a second. */
+    private void step(final Route route) {
+        final int failed = route.failed + overdueCalls(route);
+        final int outcomes = route.served + route.errors + failed;
+        if (route.phase == Phase.HEALTHY) {
+            route.servedRate += Math.max(MIN_WEIGHT, 1.0 / ++route.steps) * (route.served - route.servedRate);
         }
-        if (read > 0) {
+        if (outcomes > 0) {
             double latency = 0;
-            if (lane.served > 0) {
-                final double mean = lane.ratioSum / lane.served;
-                final double trust = lane.served / (lane.served + LATENCY_PRIOR);
-                latency = clamp(trust * (mean / lane.meanLatencyRatio - 1), 0, 1);
-                lane.meanLatencyRatio += SAMPLE_WEIGHT * trust * (mean - lane.meanLatencyRatio);
+            if (route.served > 0) {
+                final double mean = route.latencyRatioSum / route.served;
+                final double sampleShare = route.served / (route.served + LATENCY_PRIOR_SAMPLES);
+                latency = clamp(sampleShare * (mean / route.meanLatencyRatio - 1), 0, 1);
+                route.meanLatencyRatio += MIN_WEIGHT * sampleShare * (mean - route.meanLatencyRatio);
             }
-            double refusal = (double) bad / read;
-            if (lane.allowance != null && lane.allowance.callsPerSecond() > 0) {
-                refusal = Math.max(refusal, 1 - lane.allowance.remainingShare());
+            double refusal = (double) failed / outcomes;
+            if (route.reportedLimit != null && route.reportedLimit.callsPerSecond() > 0) {
+                refusal = Math.max(refusal, 1 - route.reportedLimit.remainingShare());
             }
-            final double change = Math.max(bad == 0 ? 0 : -1, tableOne(latency, clamp(refusal, 0, 1)));
-            if (change < 0 || lane.peak >= USED_SHARE * Math.floor(lane.window)) {
-                lane.window = clamp(
-                        lane.window * (1 + change),
-                        WINDOW_FLOOR,
+            final double change = Math.max(failed == 0 ? 0 : -1, tableOne(latency, clamp(refusal, 0, 1)));
+            if (change < 0 || route.peakCalls >= GROWTH_USED_SHARE * Math.floor(route.window)) {
+                route.window = clamp(
+                        route.window * (1 + change),
+                        MIN_WINDOW,
                         Math.max(1, Math.floor(HEALTHY_SHARE * limits.maxCalls())));
             }
-            lane.degraded = latency > SLOW_INPUT || refusal > SLOW_INPUT;
+            route.degraded = latency > DEGRADED_INPUT || refusal > DEGRADED_INPUT;
         }
-        final double least = SPACING_LEAST * Math.min(1, SPACING_COURIERS / settings.fleetSize());
-        final double refusing = least + SPACING * Math.max(lane.served, lane.servedRate);
-        lane.sendsPerSecond = lane.refused > 0 ? refusing : spacingGrowth(lane) * lane.sendsPerSecond;
-        lane.peak = lane.calls.size();
-        lane.ratioSum = lane.refused = lane.served = lane.bad = lane.errors = 0;
-        lane.allowance = null;
+        final double extra = EXTRA_SENDS_PER_S * Math.min(1, EXTRA_SENDS_COURIERS / settings.fleetSize());
+        final double refusedRate = extra + SEND_RATE_FACTOR * Math.max(route.served, route.servedRate);
+        route.sendsPerSecond = route.refused > 0 ? refusedRate : sendRateGrowth(route) * route.sendsPerSecond;
+        route.peakCalls = route.calls.size();
+        route.latencyRatioSum = route.refused = route.served = route.failed = route.errors = 0;
+        route.reportedLimit = null;
     }
 
-    /** How much sooner each step without refusals lets the next call go. */
-    private double spacingGrowth(final Route lane) {
-        final boolean room = settings.fleetSize() > FEW_COURIERS && lane.exactLimit && lane.left > LEFT_HIGH;
-        return room ? SPACING_GONE : SPACING;
+    private double sendRateGrowth(final Route route) {
+        final boolean ampleLimit =
+                settings.fleetSize() > SMALL_FLEET && route.exactRate && route.remainingShare > AMPLE_SHARE;
+        return ampleLimit ? AMPLE_RATE_FACTOR : SEND_RATE_FACTOR;
     }
 
-    /** As many steps at rest: once the average of few steps is past, they come to a power. */
-    private void rest(final Route lane, final long steps) {
-        final long single = Math.min(steps, STEPS_AVERAGED);
+    /** Takes the steps of an idle time; once the weights are constant, the rest is computed as a power. */
+    private void catchUp(final Route route, final long steps) {
+        final long single = Math.min(steps, SINGLE_CATCH_UP_STEPS);
         for (long done = 0; done < single; done++) {
-            step(lane);
+            step(route);
         }
-        lane.servedRate *= lane.phase == Phase.HEALTHY ? Math.pow(1 - SAMPLE_WEIGHT, steps - single) : 1;
-        lane.sendsPerSecond *= Math.pow(spacingGrowth(lane), steps - single);
+        route.servedRate *= route.phase == Phase.HEALTHY ? Math.pow(1 - MIN_WEIGHT, steps - single) : 1;
+        route.sendsPerSecond *= Math.pow(sendRateGrowth(route), steps - single);
     }
 
-    /** Table I, rows by latency, columns by refusals, each Low, Medium, High: places in the outputs. */
-    private static final double[] OUTPUTS = {0.4, 0.2, 0, -0.2, -0.4, -0.6};
+    /** Table I, rows by latency, columns by refusals, each Low, Medium, High: indexes of the outputs. */
+    private static final double[] TABLE_ONE_OUTPUTS = {0.4, 0.2, 0, -0.2, -0.4, -0.6};
 
-    private static final int[][] TABLE_ONE = {{0, 1, 3}, {1, 2, 4}, {3, 4, 5}};
+    private static final int[][] TABLE_ONE_RULES = {{0, 1, 3}, {1, 2, 4}, {3, 4, 5}};
 
-    /** The paper's Mamdani controller: triangles, min for AND, max for an output's rules, central average. */
+    /** The paper's Mamdani controller: triangles, min for AND, max of an output's rules, mean of centres. */
     static double tableOne(final double latency, final double refusal) {
-        final double[] union = new double[OUTPUTS.length];
-        for (int row = 0; row < TABLE_ONE.length; row++) {
-            for (int column = 0; column < TABLE_ONE.length; column++) {
-                final double both = Math.min(member(row, latency), member(column, refusal));
-                union[TABLE_ONE[row][column]] = Math.max(union[TABLE_ONE[row][column]], both);
+        final double[] union = new double[TABLE_ONE_OUTPUTS.length];
+        for (int row = 0; row < TABLE_ONE_RULES.length; row++) {
+            for (int column = 0; column < TABLE_ONE_RULES.length; column++) {
+                final double strength = Math.min(membership(row, latency), membership(column, refusal));
+                union[TABLE_ONE_RULES[row][column]] = Math.max(union[TABLE_ONE_RULES[row][column]], strength);
             }
         }
         double sum = 0;
         double weights = 0;
-        for (int output = 0; output < OUTPUTS.length; output++) {
-            sum += OUTPUTS[output] * union[output];
+        for (int output = 0; output < TABLE_ONE_OUTPUTS.length; output++) {
+            sum += TABLE_ONE_OUTPUTS[output] * union[output];
             weights += union[output];
         }
         return sum / weights;
     }
 
-    /** Triangles with their peaks at 0, 0.5 and 1: how Low, Medium or High an input is. */
-    private static double member(final int set, final double input) {
-        return Math.max(0, 1 - Math.abs(2 * input - set));
+    /** Membership of an input in Low, Medium or High: triangles with peaks at 0, 0.5 and 1. */
+    private static double membership(final int fuzzySet, final double input) {
+        return Math.max(0, 1 - Math.abs(2 * input - fuzzySet));
     }
 
-    // ---------------------------------------------------------------- health and return from outage
+    // ---------------------------------------------------------------- route health
 
-    /** Reads one outcome: service times, the step's inputs, waits, health of the endpoint and the lane. */
-    private void judge(final EndpointState node, final Call call, final Delivery job, final Outcome outcome) {
-        final Route lane = node.route;
+    private void applyOutcome(
+            final EndpointState endpoint, final Call call, final Delivery delivery, final Outcome outcome) {
+        final Route route = endpoint.route;
         if (outcome.reportedLimit() != null
-                && plausible(lane, outcome.reportedLimit().callsPerSecond())) {
-            lane.allowance = outcome.reportedLimit();
-            lane.rateLimit = lane.allowance.callsPerSecond();
-            lane.leftAtUs = nowUs;
-            lane.left = clamp(lane.allowance.remainingShare(), 0, 1);
-            lane.exactLimit = true;
-        }
-        final int kind = job.message.messageClass();
-        // The messages of a shared call mostly fare alike: what they tell of the lane's health is told once.
-        final boolean news = call.seen.add(outcome.result());
-        final boolean first = lane.failingSinceUs == NEVER;
-        lane.failingSinceUs = Math.min(lane.failingSinceUs, nowUs);
-        // A wait may stand in any answer, also one that delivers some of a call's messages.
-        wait(lane, outcome.retryAfterUs());
+                && isPlausible(route, outcome.reportedLimit().callsPerSecond())) {
+            route.reportedLimit = outcome.reportedLimit();
+            route.rateLimit = route.reportedLimit.callsPerSecond();
+            route.reportedUs = nowUs;
+            route.remainingShare = clamp(route.reportedLimit.remainingShare(), 0, 1);
+            route.exactRate = true;
+        }
+        final int classIndex = delivery.message.messageClass();
+        // The messages of one call mostly have the same result: it counts once for the route's health.
+        final boolean firstOfCall = call.results.add(outcome.result());
+        final boolean onset = route.failingSinceUs == NEVER;
+        route.failingSinceUs = Math.min(route.failingSinceUs, nowUs);
+        // Any answer may ask for a wait, also one that delivers some of a call's messages.
+        addWait(route, outcome.retryAfterUs());
         switch (outcome.result()) {
-            case DELIVERED -> succeed(node, job, outcome.durationUs());
+            case DELIVERED -> succeed(endpoint, delivery, outcome.durationUs());
             case REFUSED -> {
-                lane.bad++;
-                lane.refused++;
-                if (!news) {
+                route.failed++;
+                route.refused++;
+                if (!firstOfCall) {
                     return;
                 }
-                final long fromUs = Math.max(nowUs, lane.retryAfterUntilUs);
-                final long gapUs = patienceUs(lane, fromUs);
-                final boolean told = outcome.retryAfterUs() > 0;
-                lane.backoffUntilUs = fromUs + (told ? (long) (random.nextDouble() * gapUs) : jitter(gapUs));
-                suspect(lane, outcome.retryAfterUs() > LIMIT_WAIT_US ? OUT_WEIGHT : REFUSED_WEIGHT);
+                final long fromUs = Math.max(nowUs, route.retryAfterUntilUs);
+                final long delayUs = backoffUs(route, fromUs);
+                final boolean askedToWait = outcome.retryAfterUs() > 0;
+                route.backoffUntilUs =
+                        fromUs + (askedToWait ? (long) (random.nextDouble() * delayUs) : jitter(delayUs));
+                detectOutage(route, outcome.retryAfterUs() > MAX_LIMIT_WAIT_US ? OUTAGE_RUN : REFUSAL_WEIGHT);
             }
             case ERROR -> {
-                lane.errors++;
-                if (!news) {
+                route.errors++;
+                if (!firstOfCall) {
                     return;
                 }
-                lane.failureShare += FAIL_WEIGHT * (1 - lane.failureShare);
-                suspect(lane, ERROR_WEIGHT);
+                route.failureShare += FAILURE_SHARE_WEIGHT * (1 - route.failureShare);
+                detectOutage(route, ERROR_WEIGHT);
             }
             case TIMED_OUT, RESET, NO_CONNECTION, CANCELLED -> {
-                lane.bad++;
-                if (!news) {
+                route.failed++;
+                if (!firstOfCall) {
                     return;
                 }
                 if (outcome.result() == Result.TIMED_OUT || outcome.result() == Result.CANCELLED) {
-                    lane.timeoutFactor = STRETCH;
+                    route.timeoutFactor = TIMEOUT_STRETCH;
                 }
-                if (first && call.idleUs > 0 && !call.calledOff && outcome.result() != Result.NO_CONNECTION) {
-                    final double leastUs = TRUST_LEAST * limits.idleTimeoutUs();
-                    trustUs = Math.min(trustUs, Math.max(leastUs, call.idleUs / 2.0));
+                if (onset && call.idleUs > 0 && !call.cancelled && outcome.result() != Result.NO_CONNECTION) {
+                    final double minTrustedUs = MIN_TRUSTED_IDLE_SHARE * limits.idleTimeoutUs();
+                    trustedIdleUs = Math.min(trustedIdleUs, Math.max(minTrustedUs, call.idleUs / 2.0));
                 }
-                if (first && outcome.result() == Result.NO_CONNECTION) {
-                    node.fullUntilUs = nowUs + limits.idleTimeoutUs();
+                if (onset && outcome.result() == Result.NO_CONNECTION) {
+                    endpoint.fullUntilUs = nowUs + limits.idleTimeoutUs();
                 }
-                node.badRun[kind]++;
-                if (node.lastServedUs < call.sentUs) {
-                    Arrays.fill(node.avoidUntilUs, nowUs + jitter(AVOID_US));
+                endpoint.failures[classIndex]++;
+                if (endpoint.lastServedUs < call.sentUs) {
+                    Arrays.fill(endpoint.avoidUntilUs, nowUs + jitter(ENDPOINT_AVOID_US));
                 }
-                node.avoidUntilUs[kind] = nowUs + jitter(AVOID_US);
-                troubled.add(lane);
-                node.connections = Math.max(0, node.connections - 1);
-                if (outcome.result() != Result.NO_CONNECTION || node.lastServedUs <= call.sentUs) {
-                    lane.failureShare += FAIL_WEIGHT * (1 - lane.failureShare);
-                    suspect(lane, settings.fleetSize() > FEW_COURIERS ? FLEET_FAILURE_WEIGHT : 1);
+                endpoint.avoidUntilUs[classIndex] = nowUs + jitter(ENDPOINT_AVOID_US);
+                impairedRoutes.add(route);
+                endpoint.connections = Math.max(0, endpoint.connections - 1);
+                if (outcome.result() != Result.NO_CONNECTION || endpoint.lastServedUs <= call.sentUs) {
+                    route.failureShare += FAILURE_SHARE_WEIGHT * (1 - route.failureShare);
+                    detectOutage(route, settings.fleetSize() > SMALL_FLEET ? LARGE_FLEET_FAILURE_WEIGHT : 1);
                 }
             }
-            case NOT_SENT -> lane.failingSinceUs = first ? NEVER : lane.failingSinceUs;
+            case NOT_SENT -> route.failingSinceUs = onset ? NEVER : route.failingSinceUs;
         }
     }
 
-    /** A message was delivered: trouble at its destination is over, and an outage turns into a ramp. */
-    private void succeed(final EndpointState node, final Delivery job, final long durationUs) {
-        final Route lane = node.route;
-        final int kind = job.message.messageClass();
-        learn(lane, job, durationUs);
-        lane.served++;
-        node.lastServedUs = nowUs;
-        node.badRun[kind] = 0;
-        node.avoidUntilUs[kind] = 0;
-        lane.failureRun = 0;
-        lane.timeoutFactor = Math.max(1, lane.timeoutFactor - STRETCH * SAMPLE_WEIGHT);
-        lane.failureShare -= FAIL_WEIGHT * lane.failureShare;
-        if (lane.phase == Phase.PROBE) {
-            lane.phase = Phase.WARMUP;
-            lane.warmupFromUs = nowUs;
-            lane.warmupIntervalUs = patienceUs(lane, nowUs);
-            lane.failureShare = 0;
+    private void succeed(final EndpointState endpoint, final Delivery delivery, final long durationUs) {
+        final Route route = endpoint.route;
+        final int classIndex = delivery.message.messageClass();
+        addServiceTime(route, delivery, durationUs);
+        route.served++;
+        endpoint.lastServedUs = nowUs;
+        endpoint.failures[classIndex] = 0;
+        endpoint.avoidUntilUs[classIndex] = 0;
+        route.failureRun = 0;
+        route.timeoutFactor = Math.max(1, route.timeoutFactor - TIMEOUT_STRETCH * MIN_WEIGHT);
+        route.failureShare -= FAILURE_SHARE_WEIGHT * route.failureShare;
+        if (route.phase == Phase.PROBE) {
+            route.phase = Phase.WARMUP;
+            route.warmupFromUs = nowUs;
+            route.warmupIntervalUs = backoffUs(route, nowUs);
+            route.failureShare = 0;
         }
-        lane.failingSinceUs = NEVER;
+        route.failingSinceUs = NEVER;
     }
 
-    /** False for a limit far under the list's, or none where there was one: it would end or flood a lane. */
-    private static boolean plausible(final Route lane, final double limit) {
-        return limit > 0 ? limit >= LEAST_LIMIT * lane.listedLimit : !lane.exactLimit || lane.rateLimit <= 0;
+    /** False for a limit far below the list's (it would stop a route) or none after one (it would flood). */
+    private static boolean isPlausible(final Route route, final double rate) {
+        return rate > 0 ? rate >= LIMIT_FLOOR * route.listedLimit : !route.exactRate || route.rateLimit <= 0;
     }
 
-    /** Adds to a lane's run of bad outcomes; a long run, or a high share of failures, is an outage. */
-    private void suspect(final Route lane, final double weight) {
-        lane.failureRun += weight;
-        final boolean out = lane.failureRun + overdue(lane) >= OUT_WEIGHT || lane.failureShare > OUT_SHARE;
-        if (out && lane.phase != Phase.PROBE) {
-            lane.phase = Phase.PROBE;
-            troubled.add(lane);
-            lane.endpoints.forEach(node -> node.fullUntilUs = 0);
-            lane.window = WINDOW_FLOOR;
-            lane.failingSinceUs = Math.min(lane.failingSinceUs, nowUs);
-            lane.nextProbeUs = trialUs(lane);
+    private void detectOutage(final Route route, final double weight) {
+        route.failureRun += weight;
+        final boolean outage =
+                route.failureRun + overdueCalls(route) >= OUTAGE_RUN || route.failureShare > OUTAGE_SHARE;
+        if (outage && route.phase != Phase.PROBE) {
+            route.phase = Phase.PROBE;
+            impairedRoutes.add(route);
+            route.endpoints.forEach(endpoint -> endpoint.fullUntilUs = 0);
+            route.window = MIN_WINDOW;
+            route.failingSinceUs = Math.min(route.failingSinceUs, nowUs);
+            route.nextProbeUs = probeTimeUs(route);
         }
     }
 
-    /** Attempts out far longer than expected with no success on their endpoint since: silence. */
-    private int overdue(final Route lane) {
+    private int overdueCalls(final Route route) {
         int count = 0;
-        for (final Call call : lane.calls) {
-            if (nowUs >= call.overdueUs() && call.node.lastServedUs < call.sentUs) {
-                Arrays.fill(call.node.avoidUntilUs, nowUs + AVOID_US);
-                troubled.add(lane);
+        for (final Call call : route.calls) {
+            if (nowUs >= call.overdueUs() && call.endpoint.lastServedUs < call.sentUs) {
+                Arrays.fill(call.endpoint.avoidUntilUs, nowUs + ENDPOINT_AVOID_US);
+                impairedRoutes.add(route);
                 count++;
             }
         }
@@ -917,415 +912,400 @@
     }
 
     /**
-     * Silence may not eat the slots: while all are taken and a message could go elsewhere, the call longest
-     * overdue is called off. Covers hung, stalled and very slow ones; hurts where one would have answered.
+     * While all slots are taken and a HEALTHY route could use one, cancels the oldest overdue call, so that
+     * hung, stalled or very slow calls do not take all slots. The cost: it might still have been answered.
      */
     private void reclaimSlot() {
-        if (callsOut < limits.maxCalls() || !limits.canCancel()) {
+        if (inFlight < limits.maxCalls() || !limits.canCancel()) {
             return;
         }
-        final Call worst = busy.values().stream()
+        final Call oldest = busy.values().stream()
                 .flatMap(destination -> destination.routes.stream())
-                .flatMap(lane -> lane.calls.stream())
-                .filter(call -> !call.calledOff && nowUs >= call.overdueUs())
+                .flatMap(route -> route.calls.stream())
+                .filter(call -> !call.cancelled && nowUs >= call.overdueUs())
                 .min(Comparator.comparingLong(call -> call.sentUs))
                 .orElse(null);
-        if (worst != null && busy.values().stream().anyMatch(one -> best(one, false) != null)) {
-            worst.calledOff = true;
-            jobs.values().stream()
-                    .filter(job -> job.call == worst)
-                    .forEach(job -> actions.cancel(job.message.id(), job.attempts - 1));
+        if (oldest != null && busy.values().stream().anyMatch(one -> nextDelivery(one, false) != null)) {
+            oldest.cancelled = true;
+            deliveries.values().stream()
+                    .filter(delivery -> delivery.call == oldest)
+                    .forEach(delivery -> actions.cancel(delivery.message.id(), delivery.attempts - 1));
         }
     }
 
     /**
-     * A lane in trouble looks again after as long as its trouble has lasted, but no longer than its messages
-     * (or this courier's even part of the limit) are apart. So all couriers, however many, come no more often
-     * than messages do; it hurts a message whose wait outlasts the trouble.
+     * A failing route backs off for as long as it has failed, at most for the interval between its messages
+     * (or calls at this courier's even part of the limit): all couriers, however many, call no more often
+     * than messages come. The cost: a message may wait for longer than the failure lasts.
      */
-    private long patienceUs(final Route lane, final long atUs) {
-        return (long) Math.min(Math.max(PAUSE_US, atUs - lane.failingSinceUs), apartUs(lane));
+    private long backoffUs(final Route route, final long atUs) {
+        return (long) Math.min(Math.max(MIN_BACKOFF_US, atUs - route.failingSinceUs), callIntervalUs(route));
     }
 
-    /** How far apart this courier's messages for a lane are, or calls at its even part of the limit. */
-    private double apartUs(final Route lane) {
-        final double limit = lane.rateLimit > 0 ? lane.rateLimit : UNTOLD_LIMIT;
-        return SECOND_US / Math.max(lane.servedRate, limit / settings.fleetSize());
+    /** Interval between this courier's messages for a route, or calls at its even part of the limit. */
+    private double callIntervalUs(final Route route) {
+        final double limit = route.rateLimit > 0 ? route.rateLimit : UNKNOWN_LIMIT_PER_S;
+        return SECOND_US / Math.max(route.servedRate, limit / settings.fleetSize());
     }
 
     /**
-     * When a lane that is out is tried again: at any moment as likely as the share that tips a cold one, over
-     * the outage's age. So the trials of all couriers stay near that share of the messages, however many.
+     * Time of the next probe: at any moment as likely as the share that overloads a cold destination, divided
+     * by the age of the outage. So all couriers' probes, however many, stay near that share of the messages.
      */
-    private long trialUs(final Route lane) {
-        final long fromUs = Math.max(nowUs, lane.retryAfterUntilUs);
-        final double ageUs = Math.max(PAUSE_US, fromUs - lane.failingSinceUs);
-        final double gapUs = ageUs * (Math.pow(1 - random.nextDouble(), -1 / tippingShare(0)) - 1);
-        return fromUs + (long) Math.min(gapUs, jitter((long) (apartUs(lane) / tippingShare(0))));
+    private long probeTimeUs(final Route route) {
+        final long fromUs = Math.max(nowUs, route.retryAfterUntilUs);
+        final double ageUs = Math.max(MIN_BACKOFF_US, fromUs - route.failingSinceUs);
+        final double gapUs = ageUs * (Math.pow(1 - random.nextDouble(), -1 / overloadShare(0)) - 1);
+        return fromUs + (long) Math.min(gapUs, jitter((long) (callIntervalUs(route) / overloadShare(0))));
     }
 
-    /** What tips a destination so far on its way to being warm, as a share of its whole capacity. */
-    private double tippingShare(final long warmingUs) {
-        final double coldFrom = guarantees.coldCapacityShare();
-        final double warm = (double) warmingUs / Math.max(1, guarantees.warmupUs());
-        return guarantees.overloadMultiple() * (coldFrom + (1 - coldFrom) * clamp(warm, 0, 1));
+    /** The load that overloads a destination after so much warmup, as a share of its full capacity. */
+    private double overloadShare(final long warmingUs) {
+        final double coldShare = rules.coldCapacityShare();
+        final double warmShare = (double) warmingUs / Math.max(1, rules.warmupUs());
+        return rules.overloadMultiple() * (coldShare + (1 - coldShare) * clamp(warmShare, 0, 1));
     }
 
-    private void learn(final Route lane, final Delivery job, final long durationUs) {
-        final int kind = job.message.messageClass();
-        final double ratio = durationUs / Math.max(1, classMeanUs[kind]);
-        lane.ratioSum += ratio;
-        final double weight = Math.max(SAMPLE_WEIGHT, 1.0 / ++classSamples[kind]);
-        classMeanUs[kind] += weight * (durationUs / Math.max(PACE_LEAST, lane.slowdown) - classMeanUs[kind]);
-        lane.slowdown += Math.max(SAMPLE_WEIGHT, 1.0 / (1 + ++lane.latencySamples)) * (ratio - lane.slowdown);
+    private void addServiceTime(final Route route, final Delivery delivery, final long durationUs) {
+        final int classIndex = delivery.message.messageClass();
+        final double ratio = durationUs / Math.max(1, classMeanUs[classIndex]);
+        route.latencyRatioSum += ratio;
+        final double weight = Math.max(MIN_WEIGHT, 1.0 / ++classSamples[classIndex]);
+        classMeanUs[classIndex] +=
+                weight * (durationUs / Math.max(MIN_SLOWDOWN, route.slowdown) - classMeanUs[classIndex]);
+        route.slowdown += Math.max(MIN_WEIGHT, 1.0 / (1 + ++route.latencySamples)) * (ratio - route.slowdown);
     }
 
-    private double expectedUs(final Route lane, final Delivery job) {
-        return classMeanUs[job.message.messageClass()] * Math.max(PACE_LEAST, lane.slowdown);
+    private double expectedUs(final Route route, final Delivery delivery) {
+        return classMeanUs[delivery.message.messageClass()] * Math.max(MIN_SLOWDOWN, route.slowdown);
     }
 
     private long jitter(final long us) {
-        return (long) (us * (1 - JITTER + 2 * JITTER * random.nextDouble()));
+        return (long) (us * (1 - JITTER_SHARE + 2 * JITTER_SHARE * random.nextDouble()));
     }
 
-    private static double clamp(final double value, final double least, final double most) {
-        return Math.max(least, Math.min(most, value));
+    private static double clamp(final double value, final double min, final double max) {
+        return Math.max(min, Math.min(max, value));
     }
 
-    // ---------------------------------------------------------------- deadlines and further attempts
-
-    /** How long an attempt may take. */
-    private long timeoutUs(final Route lane, final Delivery job) {
-        final double expectedUs = expectedUs(lane, job);
-        final long leftUs = job.message.latestEndUs() - nowUs;
-        final double leastUs = Math.min(TIMEOUT_LEAST_US, TIMEOUT_SHARE * job.kind.deadlineUs());
-        double timeoutUs = Math.max(leastUs, TIMEOUT_TIMES * lane.timeoutFactor * expectedUs);
-        if (job.kind.effect() == Effect.UNSAFE) {
-            return leftUs;
+    private long timeoutUs(final Route route, final Delivery delivery) {
+        final double expectedUs = expectedUs(route, delivery);
+        final long remainingUs = delivery.message.latestEndUs() - nowUs;
+        final double minUs = Math.min(MIN_TIMEOUT_US, MIN_TIMEOUT_SHARE * delivery.messageClass.deadlineUs());
+        double timeoutUs = Math.max(minUs, TIMEOUT_FACTOR * route.timeoutFactor * expectedUs);
+        if (delivery.messageClass.effect() == Effect.UNSAFE) {
+            return remainingUs;
         }
-        if (job.kind.effect() == Effect.KEYED && !job.mayHaveRun) {
-            // Leaves room for a repeat inside the window; where there is none for both, one call has it.
-            final double windowUs = (1 - KEY_MARGIN) * job.kind.dedupWindowUs();
-            final double againUs = windowUs - Math.min(AGAIN_US, windowUs / 2);
-            timeoutUs = againUs < STOP_TIMES * expectedUs ? timeoutUs : Math.min(timeoutUs, againUs);
+        if (delivery.messageClass.effect() == Effect.KEYED && !delivery.mayHaveTakenEffect) {
+            // Leaves time for a retry inside the window; too short for both, it is left to one call.
+            final double windowUs = (1 - KEY_WINDOW_MARGIN_SHARE) * delivery.messageClass.dedupWindowUs();
+            final double firstUs = windowUs - Math.min(RETRY_RESERVE_US, windowUs / 2);
+            timeoutUs = firstUs < STOP_FACTOR * expectedUs ? timeoutUs : Math.min(timeoutUs, firstUs);
         }
-        return leftUs - timeoutUs < expectedUs ? leftUs : (long) timeoutUs;
+        return remainingUs - timeoutUs < expectedUs ? remainingUs : (long) timeoutUs;
     }
 
-    /** Looks for silence and ramps that are over; ends what may not be sent again, or has no time left. */
-    private void watch() {
+    /** Detects outages by overdue calls, ends warmups, and ends messages out of time or attempts. */
+    private void checkTimes() {
         for (final DestinationState destination : List.copyOf(busy.values())) {
-            for (final Route lane : destination.routes) {
-                suspect(lane, 0);
-                if (lane.phase == Phase.WARMUP && nowUs - lane.warmupFromUs > guarantees.warmupUs()) {
-                    lane.phase = Phase.HEALTHY;
+            for (final Route route : destination.routes) {
+                detectOutage(route, 0);
+                if (route.phase == Phase.WARMUP && nowUs - route.warmupFromUs > rules.warmupUs()) {
+                    route.phase = Phase.HEALTHY;
                 }
             }
             if (nowUs >= firstEndUs(destination)) {
-                endDue(destination);
+                endExpired(destination);
             }
         }
     }
 
-    private void endDue(final DestinationState destination) {
-        for (final Delivery job : List.copyOf(destination.waiting)) {
-            if (nowUs >= endUs(job) || !maySend(job)) {
-                // Given up: come again when the line that stands there now has gone, and no sooner.
-                finish(job, Math.max(PAUSE_US, destination.lineUs()));
+    private void endExpired(final DestinationState destination) {
+        for (final Delivery delivery : List.copyOf(destination.waiting)) {
+            if (nowUs >= endUs(delivery) || !maySend(delivery)) {
+                // The client should not retry before the queue that waits now is served.
+                endUndelivered(delivery, Math.max(MIN_BACKOFF_US, destination.queueUs()));
             }
         }
     }
 
-    /** When the first of a destination's waiting messages is ended; read anew after one has come or gone. */
     private long firstEndUs(final DestinationState destination) {
         if (destination.firstEndUs == UNKNOWN) {
             destinations.countExaminedMessages(destination.waiting.size());
             destination.firstEndUs = destination.waiting.stream()
-                    .mapToLong(job -> maySend(job) ? endUs(job) : nowUs)
+                    .mapToLong(delivery -> maySend(delivery) ? endUs(delivery) : nowUs)
                     .min()
                     .orElse(NEVER);
         }
         return destination.firstEndUs;
     }
 
-    /** When a message that waits is ended: its time or its key's window is up. */
-    private long endUs(final Delivery job) {
-        return Math.min(job.message.latestEndUs() - END_MARGIN_US, job.keyEndUs());
+    private long endUs(final Delivery delivery) {
+        return Math.min(delivery.message.latestEndUs() - END_MARGIN_US, delivery.keyEndUs());
     }
 
-    /** Rule on effects, and the most attempts. */
-    private boolean maySend(final Delivery job) {
-        final Effect effect = job.kind.effect();
-        return DeliveryRules.mayRepeat(effect, job.mayHaveRun, nowUs < job.keyEndUs())
-                && job.attempts < limits.maxAttempts();
+    private boolean maySend(final Delivery delivery) {
+        final Effect effect = delivery.messageClass.effect();
+        return DeliveryRules.mayRepeat(effect, delivery.mayHaveTakenEffect, nowUs < delivery.keyEndUs())
+                && delivery.attempts < limits.maxAttempts();
     }
 
-    private static boolean mayRefuse(final Delivery job) {
-        return DeliveryRules.mayRefuse(job.kind, job.mayHaveRun);
+    private static boolean mayRefuse(final Delivery delivery) {
+        return DeliveryRules.mayRefuse(delivery.messageClass, delivery.mayHaveTakenEffect);
     }
 
-    /** Gives the final answer: a refusal where that is harmless, or a failure. */
-    private void finish(final Delivery job, final long retryAfterUs) {
-        if (mayRefuse(job)) {
-            actions.refuse(job.message.id(), Math.min(retryAfterUs, limits.maxRetryAfterUs()));
+    private void endUndelivered(final Delivery delivery, final long retryAfterUs) {
+        if (mayRefuse(delivery)) {
+            actions.refuse(delivery.message.id(), Math.min(retryAfterUs, limits.maxRetryAfterUs()));
         } else {
-            actions.fail(job.message.id());
+            actions.fail(delivery.message.id());
         }
-        end(job);
+        end(delivery);
     }
 
-    private void end(final Delivery job) {
-        open -= job.over ? 0 : 1;
-        job.over = true;
-        job.destination.dequeue(job);
-        if (job.call == null) {
-            if (job.line != null && !job.line.owed.contains(job.message.id())) {
-                job.line.ids.remove(job.message.id());
+    private void end(final Delivery delivery) {
+        open -= delivery.ended ? 0 : 1;
+        delivery.ended = true;
+        delivery.destination.dequeue(delivery);
+        if (delivery.call == null) {
+            if (delivery.keyQueue != null && !delivery.keyQueue.notices.contains(delivery.message.id())) {
+                delivery.keyQueue.messageIds.remove(delivery.message.id());
             }
-            jobs.remove(job.message.id());
-            if (--job.destination.openMessages == 0) {
-                busy.remove(job.message.destination());
+            deliveries.remove(delivery.message.id());
+            if (--delivery.destination.openMessages == 0) {
+                busy.remove(delivery.message.destination());
             }
         }
     }
 
-    /** Refuses what has least to gain before the store is full: nothing is turned away at the door. */
-    private void makeRoom() {
-        final int reserve = (int) Math.max(1, STORE_RESERVE * limits.maxOpenMessages());
+    /** Load shedding: refuses the least valuable messages before the store is full and rejects new ones. */
+    private void shedMessages() {
+        final int reserve = (int) Math.max(1, STORE_RESERVE_SHARE * limits.maxOpenMessages());
         while (open > limits.maxOpenMessages() - reserve) {
-            final Delivery least = busy.values().stream()
+            final Delivery leastValuable = busy.values().stream()
                     .flatMap(destination -> destination.waiting.stream())
                     .filter(Control::mayRefuse)
-                    .min(Comparator.comparingDouble(this::worthInLine))
+                    .min(Comparator.comparingDouble(this::valueAfterQueue))
                     .orElse(null);
-            if (least == null) {
+            if (leastValuable == null) {
                 return;
             }
-            finish(least, SECOND_US);
+            endUndelivered(leastValuable, SECOND_US);
         }
     }
 
-    /** The worth of a message that is delivered when the line of its destination has gone. */
-    private double worthInLine(final Delivery job) {
-        return worth(job, Math.min(nowUs + job.destination.lineUs(), job.keyEndUs() - 1));
+    private double valueAfterQueue(final Delivery delivery) {
+        return valueAt(delivery, Math.min(nowUs + delivery.destination.queueUs(), delivery.keyEndUs() - 1));
     }
 
-    /** Meters a tenant at this courier's even part of its quota; true for a message beyond it. */
+    /** Meters a tenant at this courier's even part of its quota; true for a message beyond it and a burst. */
     private boolean overQuota(final int tenant) {
-        final double whole = tenant < 0 ? 0 : settings.tenants().get(tenant).quotaPerSecond();
-        final double quota = whole / settings.fleetSize();
-        if (quota <= 0 || quotaUs[tenant] > nowUs + QUOTA_BURST * SECOND_US / quota) {
+        final double total = tenant < 0 ? 0 : settings.tenants().get(tenant).quotaPerSecond();
+        final double quota = total / settings.fleetSize();
+        if (quota <= 0 || quotaUsedUntilUs[tenant] > nowUs + QUOTA_BURST_MESSAGES * SECOND_US / quota) {
             return quota > 0;
         }
-        quotaUs[tenant] = Math.max(quotaUs[tenant], nowUs) + (long) (SECOND_US / quota);
+        quotaUsedUntilUs[tenant] = Math.max(quotaUsedUntilUs[tenant], nowUs) + (long) (SECOND_US / quota);
         return false;
     }
 
-    /** Asks to be woken when something can change by time alone: a guard, a deadline, a silence, a step. */
-    private void sleep() {
-        long next = Math.min(nextStepUs, askAgainUs);
+    private void scheduleWake() {
+        long next = Math.min(nextStepUs, listRetryUs);
         for (final DestinationState destination : busy.values()) {
-            for (final Route lane : destination.routes) {
-                for (final Call call : lane.calls) {
+            for (final Route route : destination.routes) {
+                for (final Call call : route.calls) {
                     next = Math.min(next, call.overdueUs() > nowUs ? call.overdueUs() : NEVER);
                 }
                 if (!destination.waiting.isEmpty()) {
-                    next = Math.min(next, Math.max(openAtUs(lane), nowUs + POLL_US));
+                    next = Math.min(next, Math.max(nextCallUs(route), nowUs + POLL_INTERVAL_US));
                 }
             }
             next = Math.min(next, firstEndUs(destination));
         }
-        wakes.headSet(nowUs + 1).clear();
-        if (wakes.isEmpty() || wakes.first() > next) {
-            wakes.add(Math.max(nowUs + 1, next));
-            actions.wakeAfter(wakes.first() - nowUs);
+        wakesUs.headSet(nowUs + 1).clear();
+        if (wakesUs.isEmpty() || wakesUs.first() > next) {
+            wakesUs.add(Math.max(nowUs + 1, next));
+            actions.wakeAfter(wakesUs.first() - nowUs);
         }
     }
 
-    // ---------------------------------------------------------------- membership
-
     @Override
     public void onListUpdate(final long now, final ListUpdate update, final List<Endpoint> entries) {
         nowUs = now;
         if (update == ListUpdate.UNAVAILABLE) {
             subscribed = false;
-            askAgainUs = nowUs + jitter(askBackOffUs);
-            askBackOffUs = Math.min(2 * askBackOffUs, ASK_MOST_US);
+            listRetryUs = nowUs + jitter(listBackoffUs);
+            listBackoffUs = Math.min(2 * listBackoffUs, MAX_LIST_BACKOFF_US);
             return;
         }
-        askAgainUs = NEVER;
-        askBackOffUs = ASK_LEAST_US;
+        listRetryUs = NEVER;
+        listBackoffUs = MIN_LIST_BACKOFF_US;
         destinations.update(update, entries);
     }
 
     @Override
-    public void onOverride(final long now, final long endpoint, final boolean out, final long backUs) {
+    public void onOverride(final long now, final long id, final boolean disabled, final long enabledUs) {
         nowUs = now;
-        final EndpointState node = destinations.endpoint(endpoint);
-        if (node == null) {
+        final EndpointState endpoint = destinations.endpoint(id);
+        if (endpoint == null) {
             return;
         }
-        troubled.add(node.route);
-        if (out && !node.out) {
-            // They restart it: what is open there now will not be when it is back.
-            node.connections = 0;
-            actions.closeIdleConnections(endpoint);
+        impairedRoutes.add(endpoint.route);
+        if (disabled && !endpoint.disabled) {
+            // Operators restart it: its connections will be closed when it is back.
+            endpoint.connections = 0;
+            actions.closeIdleConnections(id);
         }
-        node.out = out;
-        node.backUs = out ? 0 : backUs;
+        endpoint.disabled = disabled;
+        endpoint.enabledUs = disabled ? 0 : enabledUs;
     }
 
-    private Route newLane(final DestinationKind kind) {
-        return new Route(kind, settings.fleetSize() <= FEW_COURIERS ? WINDOW_START : WINDOW_RARE);
+    private Route newRoute(final DestinationKind kind) {
+        return new Route(kind, settings.fleetSize() <= SMALL_FLEET ? INITIAL_WINDOW : LARGE_FLEET_WINDOW);
     }
 
-    /** Where the list must be asked for: once at the start, and again after a loss. */
-    private void keepList() {
-        if (settings.listOnRequest() && (askAgainUs == NEVER ? !subscribed : nowUs >= askAgainUs)) {
+    private void subscribeIfDue() {
+        if (settings.listOnRequest() && (listRetryUs == NEVER ? !subscribed : nowUs >= listRetryUs)) {
             subscribed = true;
-            askAgainUs = nowUs + Math.min(ASK_MOST_US, guarantees.listRequestDeadlineUs() / 2);
+            listRetryUs = nowUs + Math.min(MAX_LIST_BACKOFF_US, rules.listRequestDeadlineUs() / 2);
             actions.subscribeToList();
         }
     }
 
-    // ---------------------------------------------------------------- state
-
-    /** A destination: the messages waiting for it, and its routes (one, unless its routes are separate). */
+    /** A destination: the messages that wait for it, and its routes (one, unless its routes are separate). */
     static final class DestinationState {
         private final List<Delivery> waiting = new ArrayList<>();
         final List<Route> routes = new ArrayList<>();
-        /** Its messages, waiting or in an attempt. */
         int openMessages;
-        /** When the first one that waits is ended. */
+        /** When the first waiting message ends; UNKNOWN if the queue has changed since it was computed. */
         private long firstEndUs = NEVER;
-        /** The number of the last step that its routes took. */
+
         long lastStep;
 
-        private void enqueue(final Delivery job) {
-            waiting.add(job);
+        private void enqueue(final Delivery delivery) {
+            waiting.add(delivery);
             firstEndUs = UNKNOWN;
         }
 
-        private void dequeue(final Delivery job) {
-            if (waiting.remove(job)) {
+        private void dequeue(final Delivery delivery) {
+            if (waiting.remove(delivery)) {
                 firstEndUs = UNKNOWN;
             }
         }
 
-        /** How long its line takes at the rate that it was served, us. */
-        private long lineUs() {
+        /** Time that the queue takes at the rate at which its routes are served. */
+        private long queueUs() {
             final double rate = Math.max(
-                    LEAST_RATE,
-                    routes.stream().mapToDouble(lane -> lane.servedRate).sum());
+                    MIN_QUEUE_RATE_PER_S,
+                    routes.stream().mapToDouble(route -> route.servedRate).sum());
             return (long) (waiting.size() / rate * SECOND_US);
         }
     }
 
-    /** What has a window of its own: a destination, or one of its separate routes. */
+    /** A destination, or one of its separate routes, with its own window and calls. */
     static final class Route extends RouteState {
         final DestinationKind destinationKind;
         final List<EndpointState> endpoints = new ArrayList<>();
         private final List<Call> calls = new ArrayList<>();
-        /** This step's counts and sum of latency ratios. */
-        private int peak, refused, served, bad, errors;
+        /** Counts of this step: most calls in flight at once, and outcomes. */
+        private int peakCalls, refused, served, failed, errors;
 
-        private double ratioSum;
-        private ReportedLimit allowance;
-        /** The limit that the list names. */
+        private double latencyRatioSum;
+        private ReportedLimit reportedLimit;
         double listedLimit;
-        /** The share of that limit that was left when last reported, and when. */
-        private double left = 1;
+        /** The remaining share of the limit in its last report, and when that came. */
+        private double remainingShare = 1;
 
-        private long leftAtUs;
+        private long reportedUs;
 
-        private Route(final DestinationKind kind, final double window) {
-            this.destinationKind = kind;
+        private Route(final DestinationKind destinationKind, final double window) {
+            this.destinationKind = destinationKind;
             this.window = window;
         }
     }
 
-    /** An endpoint. */
+    /** An endpoint that this courier has state for. */
     static final class EndpointState {
         final Endpoint entry;
         final Route route;
         Condition condition;
-        /** Taken out by hand; and since when it is back, 0 if it never was out. */
-        private boolean out;
+        /** Disabled by operators; and since when it is enabled again, 0 if it never was disabled. */
+        private boolean disabled;
 
-        private long backUs;
-        int callsInFlight, connections;
-        /** Failures in a row of each class, and until when that class goes elsewhere. */
-        private final int[] badRun;
+        private long enabledUs;
+        int inFlight, connections;
+        /** Failures in a row of each message class, and until when that class avoids this endpoint. */
+        private final int[] failures;
 
         private final long[] avoidUntilUs;
-        /** Until when it is taken to have no room for idle connections. */
+        /** Until when it is assumed to have no room for idle connections. */
         private long fullUntilUs;
 
         private long lastUseUs, lastSendUs, lastServedUs;
 
-        EndpointState(final Endpoint entry, final Route lane, final int classes) {
-            this.badRun = new int[classes];
+        EndpointState(final Endpoint entry, final Route route, final int classes) {
+            this.failures = new int[classes];
             this.avoidUntilUs = new long[classes];
             this.entry = entry;
-            this.route = lane;
+            this.route = route;
         }
     }
 
-    /** A call in flight, with one or more messages. */
+    /** A call in flight, with one or more messages; it is not overdue before it is {@code graceUs} old. */
     private static final class Call {
-        private EndpointState node;
+        private EndpointState endpoint;
         private int messages;
-        private long sentUs, expectedUs, idleUs, overdueLeastUs = OVERDUE_LEAST_US;
-        private boolean calledOff;
-        private final Set<Result> seen = EnumSet.noneOf(Result.class);
+        private long sentUs, expectedUs, idleUs, graceUs = MIN_OVERDUE_US;
+        private boolean cancelled;
+        private final Set<Result> results = EnumSet.noneOf(Result.class);
 
-        private void carry(final Delivery job, final long jobUs) {
-            expectedUs = Math.max(expectedUs, jobUs);
-            overdueLeastUs = (long) Math.min(overdueLeastUs, OVERDUE_SHARE * job.kind.deadlineUs());
-            job.call = this;
+        private void add(final Delivery delivery, final long deliveryUs) {
+            expectedUs = Math.max(expectedUs, deliveryUs);
+            graceUs = (long) Math.min(graceUs, MIN_OVERDUE_SHARE * delivery.messageClass.deadlineUs());
+            delivery.call = this;
         }
 
         private long overdueUs() {
-            return sentUs + Math.max(overdueLeastUs, (long) (OVERDUE_TIMES * expectedUs));
+            return sentUs + Math.max(graceUs, (long) (OVERDUE_FACTOR * expectedUs));
         }
     }
 
-    /** A message that has not ended, or still has an attempt in flight. */
+    /** An open message, or one that has ended but still has an attempt in flight. */
     private static final class Delivery {
         private final Message message;
-        private final MessageClass kind;
-        private final long aimUs;
+        private final MessageClass messageClass;
+        private final long targetUs;
         private DestinationState destination;
-        private KeyQueue line;
+        private KeyQueue keyQueue;
         private Call call;
-        /** Where it may go, and how urgently, when last looked at. */
-        private Route lane;
+        /** The route it may use, and its priority, when last examined. */
+        private Route route;
 
-        private double urgency;
+        private double sendPriority;
         private int attempts;
-        private boolean overQuota, mayHaveRun, over;
-        private long firstRunUs = NEVER;
-        private String runZone = "";
+        private boolean overQuota, mayHaveTakenEffect, ended;
+        private long firstEffectUs = NEVER;
+        private String effectZone = "";
 
-        private Delivery(final Message message, final MessageClass kind) {
+        private Delivery(final Message message, final MessageClass messageClass) {
             this.message = message;
-            this.kind = kind;
-            this.aimUs = message.validUntilUs() - kind.deadlineUs() + kind.targetUs();
+            this.messageClass = messageClass;
+            this.targetUs = message.validUntilUs() - messageClass.deadlineUs() + messageClass.targetUs();
         }
 
-        /** Until when it may be sent: a key that may be in use ends a message like its own deadline does. */
+        /** Until when it may be sent: its deadline, or its dedup window's end if its key may be in use. */
         private long keyEndUs() {
-            final long windowUs = (long) ((1 - KEY_MARGIN) * kind.dedupWindowUs());
-            return !mayHaveRun || kind.effect() != Effect.KEYED
+            final long windowUs = (long) ((1 - KEY_WINDOW_MARGIN_SHARE) * messageClass.dedupWindowUs());
+            return !mayHaveTakenEffect || messageClass.effect() != Effect.KEYED
                     ? message.validUntilUs()
-                    : Math.min(message.validUntilUs(), firstRunUs + windowUs);
+                    : Math.min(message.validUntilUs(), firstEffectUs + windowUs);
         }
     }
 
-    /** The messages of one key, in the order accepted; some only await the answer to their notice. */
+    /** The messages of one key in the order accepted; {@code notices}: ended, with an unanswered notice. */
     private static final class KeyQueue {
-        private final List<String> ids = new ArrayList<>();
-        private final Set<String> owed = new HashSet<>();
-        private long restUntilUs;
+        private final List<String> messageIds = new ArrayList<>();
+        private final Set<String> notices = new HashSet<>();
+        private long blockedUntilUs;
     }
 }
--- a/src/main/java/railspar/Courier.java
+++ b/src/main/java/railspar/Courier.java
@@ -4,13 +4,17 @@
 import java.util.Map;
 
 /**
- * What a courier's decisions are told and what they may ask for. A host (a courier process, or the bench's
- * adapter) calls the inbound events in the order in which they happened, then {@link #decide} once, and
- * carries out the {@link Actions} it was given meanwhile. All times are microseconds on one clock that only advances.
+ * The interface of a courier's decisions: the events they receive and the actions they may request. A host (a courier
+ * process, or the bench's adapter) calls the event methods in the order in which the events happened, then
+ * {@link #decide} once, and carries out the {@link Actions} that were requested meanwhile. All times are microseconds
+ * on one clock that only advances.
  */
 public interface Courier {
 
-    /** What a repeat of a message does: nothing new, nothing new while the key is remembered, or harm. */
+    /**
+     * What a repeated delivery of a message does: SAFE has no further effect, KEYED has none while the destination
+     * remembers the message's key, UNSAFE takes effect again.
+     */
     enum Effect {
         SAFE,
         KEYED,
@@ -41,7 +45,7 @@
         CANCELLED,
         NOT_SENT;
 
-        /** True if the message certainly had no effect, so that another attempt is harmless. */
+        /** True if the attempt certainly had no effect, so that another one is harmless. */
         public boolean hadNoEffect() {
             return this == REFUSED || this == NO_CONNECTION || this == NOT_SENT;
         }
@@ -52,14 +56,17 @@
         }
     }
 
-    /** An endpoint's state in the list; the list knows nothing of health. */
+    /** An endpoint's state in the list, which does not say whether the endpoint is healthy. */
     enum Condition {
         LISTED,
         DRAINING,
         GONE
     }
 
-    /** What an update of the list holds: changed entries, all entries, the last known list, or nothing. */
+    /**
+     * What an update of the list holds: changed entries, all entries, the last known list, or nothing because the
+     * list could not be read.
+     */
     enum ListUpdate {
         INCREMENTAL,
         FULL,
@@ -67,7 +74,11 @@
         UNAVAILABLE
     }
 
-    /** A class of message. {@code dedupPerZone}: only endpoints of one zone drop each other's repeats. */
+    /**
+     * A class of messages. {@code ordered}: messages of one key are delivered in the order accepted. {@code
+     * dedupPerZone}: only endpoints of one zone recognize each other's repeats. {@code lateValue}: the minimum
+     * share of the value that a late message keeps.
+     */
     record MessageClass(
             String name,
             Effect effect,
@@ -79,13 +90,18 @@
             long deadlineUs,
             long dedupWindowUs) {}
 
-    /** A tenant and the messages a second, over all couriers, that count with their full value. */
+    /** A tenant, and its messages per second, over all couriers, that count with their full value. */
     record Tenant(String name, double quotaPerSecond) {}
 
-    /** A kind of destination. */
+    /** A kind of destination. {@code separateRoutes}: each endpoint is a route with limits and waits of its own. */
     record DestinationKind(String name, boolean separateRoutes, int messagesPerCall) {}
 
-    /** The parameters of the rules that every courier keeps. */
+    /**
+     * The parameters of the rules that every courier keeps. {@code coldCapacityShare}: the share of its capacity that
+     * a destination has when it returns, cold, from an outage. {@code warmupUs}: the time until it has all of it.
+     * {@code overloadMultiple}: the load, in multiples of its present capacity, that makes it fail again. {@code
+     * orderingDelayUs}: the delay of a key's next message after an attempt without answer.
+     */
     record RuleParameters(
             long listRequestDeadlineUs,
             double coldCapacityShare,
@@ -93,7 +109,7 @@
             double overloadMultiple,
             long orderingDelayUs) {}
 
-    /** What this courier may use. */
+    /** The resources that this courier may use. */
     record Limits(
             int maxCalls,
             int maxOpenMessages,
@@ -103,7 +119,7 @@
             int streamsPerConnection,
             long maxRetryAfterUs) {}
 
-    /** Everything a courier is handed at its start. */
+    /** The settings of a courier, fixed at its start. */
     record Settings(
             int fleetSize,
             String zone,
@@ -115,36 +131,44 @@
             List<DestinationKind> destinationKinds,
             RuleParameters ruleParameters,
             Limits limits) {
-        /** Refuses settings that contradict themselves, so that a host learns of it at its start. */
+        /**
+         * Throws {@link IllegalArgumentException} for settings without meaning, so that a host fails at its start.
+         */
         public Settings {
-            require(fleetSize >= 1, "a fleet has at least one courier, not " + fleetSize);
-            require(limits.maxCalls() >= 1, "a courier needs at least one slot, not " + limits.maxCalls());
+            require(fleetSize >= 1, "fleetSize: a fleet needs at least one courier, not " + fleetSize);
+            require(
+                    limits.maxCalls() >= 1,
+                    "maxCalls: a courier needs at least one call slot, not " + limits.maxCalls());
             require(
                     limits.maxOpenMessages() >= 1,
-                    "a store holds at least one message, not " + limits.maxOpenMessages());
-            require(limits.maxAttempts() >= 1, "a message needs at least one attempt, not " + limits.maxAttempts());
+                    "maxOpenMessages: the store needs room for at least one message, not " + limits.maxOpenMessages());
+            require(
+                    limits.maxAttempts() >= 1,
+                    "maxAttempts: a message needs at least one attempt, not " + limits.maxAttempts());
             require(
                     ruleParameters.overloadMultiple() > 0,
-                    "a tipping multiple is above 0, not " + ruleParameters.overloadMultiple());
-            for (final MessageClass kind : classes) {
-                require(kind.targetUs() <= kind.deadlineUs(), kind.name() + ": its aim is later than its deadline");
+                    "overloadMultiple: must be above 0, not " + ruleParameters.overloadMultiple());
+            for (final MessageClass messageClass : classes) {
+                require(
+                        messageClass.targetUs() <= messageClass.deadlineUs(),
+                        messageClass.name() + ": its target is later than its deadline");
             }
         }
 
-        private static void require(final boolean kept, final String problem) {
-            if (!kept) {
+        private static void require(final boolean condition, final String problem) {
+            if (!condition) {
                 throw new IllegalArgumentException(problem);
             }
         }
     }
 
-    /** An endpoint as the list names it; {@code destinationKind} is an index into the settings, or -1. */
+    /** An endpoint of the list; {@code destinationKind} is an index into the settings, or -1 if unknown. */
     record Endpoint(long id, Condition condition, String zone, double weight, int destinationKind, long destination) {}
 
     /**
-     * An accepted message; {@code messageClass} and {@code tenant} index the settings, tenant -1 if none.
-     * {@code ageUncertaintyUs}: it may be older than its host can tell by this much; it must end in time all the
-     * same.
+     * An accepted message; {@code messageClass} and {@code tenant} are indexes into the settings, tenant -1 if none.
+     * {@code ageUncertaintyUs}: the message may be older than its host knows by this much, and must end in time even
+     * so.
      */
     record Message(
             String id,
@@ -154,7 +178,7 @@
             long validUntilUs,
             long destination,
             long ageUncertaintyUs) {
-        /** Of an age that is known. */
+        /** A message of known age. */
         public Message(
                 final String id,
                 final int messageClass,
@@ -165,16 +189,16 @@
             this(id, messageClass, tenant, key, validUntilUs, destination, 0);
         }
 
-        /** When the message must have ended at the latest. */
+        /** The latest time at which the message must have ended, whatever its true age. */
         long latestEndUs() {
             return validUntilUs - ageUncertaintyUs;
         }
     }
 
     /**
-     * The attempts of a message before this process took it over. {@code mayHaveTakenEffect}: an attempt may have had
-     * its effect, the first one at {@code firstEffectUs} (on the clock of the events, perhaps before its start), in
-     * {@code effectZone}. {@code inheritedCall}: the attempt in flight, or null.
+     * The attempts of a message in earlier processes. {@code mayHaveTakenEffect}: an attempt may have taken effect,
+     * the first one at {@code firstEffectUs} (on the clock of the events; it may lie before the start of that
+     * clock), in {@code effectZone}. {@code inheritedCall}: the attempt that is still in flight, or null.
      */
     record AttemptHistory(
             int attempts,
@@ -182,7 +206,7 @@
             long firstEffectUs,
             String effectZone,
             InheritedCall inheritedCall) {
-        /** With no attempt in flight. */
+        /** A history without an attempt in flight. */
         public AttemptHistory(
                 final int attempts,
                 final boolean mayHaveTakenEffect,
@@ -192,13 +216,13 @@
         }
     }
 
-    /** A call of an earlier process to an endpoint that is still in flight; its outcome comes as any other's. */
+    /** A call of an earlier process that is still in flight; its outcome comes like that of any other call. */
     record InheritedCall(long endpoint, long sentUs) {}
 
-    /** The state of an endpoint and its destination in a process that hands over, by name; times are the clock's. */
+    /** The state of an endpoint and its destination, by name, for the handover; times are those of the clock. */
     record EndpointSnapshot(Map<String, Double> values, Map<String, Long> timesUs) {}
 
-    /** A rate limit that a destination reported: the share left, and calls a second (0: no limit). */
+    /** A rate limit that a destination reported: the share that is left, and the calls per second (0: no limit). */
     record ReportedLimit(double remainingShare, double callsPerSecond) {}
 
     /**
@@ -215,117 +239,118 @@
             ReportedLimit reportedLimit) {}
 
     /**
-     * The work of the decisions, independent of the machine that does it: destinations with state, routes that the
-     * steps have visited, and waiting messages whose deadlines were read or that were considered for sending, since
-     * the start.
+     * The work of the decisions, counted independently of the machine's speed: destinations with state now; and since
+     * the start, routes visited by steps, and waiting messages whose deadlines were read or that were considered for
+     * sending.
      */
     record Workload(int destinationsWithState, long routesVisited, long messagesExamined) {}
 
     /**
-     * The list of endpoints, as its host holds it. The decisions keep state only for destinations with messages, and
-     * look the endpoints of a destination up when its first message comes.
+     * The list of endpoints, as the host keeps it. The decisions keep state only for destinations in use, and look up
+     * a destination's endpoints when its first message comes.
      */
     interface Directory {
-        /** The endpoints of a destination, those that drain too, in an order that stays; empty if none is listed. */
+        /** A destination's endpoints, draining ones included, in a stable order; empty if none is listed. */
         List<Endpoint> endpointsOf(long destination);
 
-        /** The listed endpoint of that id, or null. */
+        /** The listed endpoint with that id, or null. */
         Endpoint endpoint(long id);
 
         /**
-         * {@link Courier#onListUpdate} has been told of this; a host that keeps its list up to date itself need not
-         * care.
+         * Called for each {@link Courier#onListUpdate}; a host that keeps its list up to date itself does not need
+         * it.
          */
         default void update(final ListUpdate update, final List<Endpoint> entries) {}
     }
 
-    /** What a courier may ask of its host. */
+    /** The actions that a courier may request from its host. */
     interface Actions {
-        /** Calls an endpoint with a message. */
+        /** Sends a message to an endpoint. */
         void send(String messageId, long endpoint, long timeoutUs);
 
-        /** Ends a message undelivered; its client may safely hand it in again. */
+        /** Ends a message undelivered; its client may safely submit it again. */
         void refuse(String messageId, long retryAfterUs);
 
-        /** Ends a message as failed; nothing is promised. */
+        /** Ends a message as failed, without a statement on whether it took effect. */
         void fail(String messageId);
 
-        /** Stops waiting for an attempt. */
+        /** Cancels an attempt in flight; its outcome follows as an event. */
         void cancel(String messageId, int attempt);
 
-        /** Closes this courier's idle connections to an endpoint, before the actions that follow. */
+        /** Closes this courier's idle connections to an endpoint, before the actions requested after this one. */
         void closeIdleConnections(long endpoint);
 
-        /** Asks for changes of the list from now on. */
+        /** Subscribes to changes of the list. */
         void subscribeToList();
 
-        /** Asks for {@link Courier#decide} to be called again after a delay, if nothing calls it earlier. */
+        /** Requests a call of {@link Courier#decide} after a delay, if no event causes one earlier. */
         void wakeAfter(long delayUs);
     }
 
     /**
-     * The list changed, or could not be had. Its {@link Directory} says so already; {@code entries} are what changed,
-     * and need not hold the whole of a whole list where the host keeps the directory.
+     * The list changed, or could not be read. The host's {@link Directory}, if it keeps one, has the change already;
+     * {@code entries} are the changed entries. For a full list they may be left out if the host keeps the directory.
      */
     void onListUpdate(long nowUs, ListUpdate update, List<Endpoint> entries);
 
-    /** A message was taken. */
+    /** A message was accepted. */
     void onMessage(long nowUs, Message message);
 
-    /** A message that an earlier process of this courier accepted is taken over; in the order accepted. */
-    void onMessageResumed(long nowUs, Message message, AttemptHistory past);
+    /** Takes over a message that an earlier process of this courier accepted; called in the order accepted. */
+    void onMessageResumed(long nowUs, Message message, AttemptHistory history);
 
-    /** The state of a listed endpoint, for a process that takes over from this one; it changes nothing. */
-    EndpointSnapshot snapshot(long nowUs, long endpoint);
+    /** The state of a listed endpoint, for the successor process; changes nothing. */
+    EndpointSnapshot snapshot(long nowUs, long endpointId);
 
-    /** The state of a listed endpoint in the process that this one takes over from: waits and guards go on. */
-    void onEndpointSnapshot(long nowUs, long endpoint, EndpointSnapshot standing);
+    /** The state of a listed endpoint in the predecessor process: its waits, backoffs and outages continue here. */
+    void onEndpointSnapshot(long nowUs, long endpointId, EndpointSnapshot snapshot);
 
     /**
-     * An attempt in flight in an earlier process was interrupted when that process ended: it may have had its
+     * An attempt in flight in an earlier process was interrupted by the end of that process; it may have taken
      * effect.
      */
     void onAttemptInterrupted(long nowUs, String messageId);
 
     /**
-     * Operators have disabled an endpoint, or enabled it again at that time, after which it is cold. This holds
-     * whatever the list says, and is repeated when the list names the endpoint anew.
+     * Operators have disabled an endpoint, or enabled it again at {@code enabledUs}, when it is cold. This overrides
+     * the list. The host calls it again when the list names the endpoint anew.
      */
-    void onOverride(long nowUs, long endpoint, boolean out, long backUs);
+    void onOverride(long nowUs, long endpointId, boolean disabled, long enabledUs);
 
-    /** This process ends at {@code stopUs}: what it still holds then goes on in the next one. */
+    /** This process stops at {@code stopUs}; its successor continues with the messages that are open then. */
     void onStopping(long nowUs, long stopUs);
 
     /** An attempt ended. */
     void onOutcome(long nowUs, Outcome outcome);
 
     /**
-     * An endpoint asked for a wait in an answer that came after its attempt's end, or to no message that is still
+     * An endpoint asked for a wait in an answer that came after its attempt had ended, or whose message is no longer
      * open.
      */
-    void onRetryAfter(long nowUs, long endpoint, long waitUs);
+    void onRetryAfter(long nowUs, long endpointId, long waitUs);
 
     /**
-     * A message of that key has ended, or had when this process began, by a notice that is not answered yet: until
-     * {@link #onNoticeAnswered} it still blocks the next ones of its key. A host without notices never calls it.
+     * A message of that key has ended, perhaps before this process started, and the notice of its end is not answered
+     * yet. It blocks the next messages of its key until {@link #onNoticeAnswered}. A host without notices never calls
+     * this.
      */
     void onNoticePending(long nowUs, String messageId, String key);
 
-    /** The pending notice is answered. */
+    /** The pending notice of that message was answered. */
     void onNoticeAnswered(long nowUs, String messageId, String key);
 
-    /** Nobody wants this message any more; it is owed no answer. */
+    /** A message is no longer wanted and needs no answer. */
     void onExpired(long nowUs, String messageId);
 
-    /** All that happened by now has been told, or a wake-up fell due: act on it. */
+    /** Decides and requests actions, after the host has reported all events up to now, or at a wake-up. */
     void decide(long nowUs);
 
     /**
-     * The number of listed endpoints that get nothing now, by an operator's or by this courier's decision; it
-     * changes nothing.
+     * The number of listed endpoints that get no calls now, disabled by operators or avoided by this courier; changes
+     * nothing.
      */
     int avoidedEndpoints(long nowUs);
 
-    /** The state of a destination in a few words for the log; it changes nothing. */
+    /** The state of a destination in a line for the log; changes nothing. */
     String describe(long destination);
 }
--- a/src/main/java/railspar/DeliveryRules.java
+++ b/src/main/java/railspar/DeliveryRules.java
@@ -8,21 +8,21 @@
 import railspar.Courier.Result;
 
 /**
- * Decides what may be sent, repeated, refused, withdrawn or decided at all, given what is known of the operations
- * before it. An operation that failed took effect, did not, or is in doubt: only what surely did not run is repeated
- * where a repeat does harm, and only what surely was not heard is withdrawn.
+ * The rules on which messages may be sent, repeated, refused or withdrawn, given what is known of earlier
+ * operations. A failed operation took effect, did not, or is in doubt. An unsafe message is repeated only if it
+ * certainly had no effect, and an acceptance is withdrawn only if the client certainly did not receive it.
  *
- * <p>A host asks again right before it acts. A no at that point means that an earlier step went wrong: the host does
- * not act then, and counts the {@link Violation}. Used on one thread.
+ * <p>A host checks the rules once more right before it acts. A violation at that point shows an earlier fault: the
+ * host then does not act, and counts the {@link Violation}. Not thread-safe.
  */
 public final class DeliveryRules {
     private final Map<Violation, Long> counts = new EnumMap<>(Violation.class);
 
-    /** What is known of a request or an answer whose bytes were given to a socket. */
+    /** What is known about the transmission of a request or an answer whose bytes were given to a socket. */
     public enum Transmission {
-        /** The peer cannot have got it whole: no write that could have completed it was made, or none failed. */
+        /** The peer cannot have all of it: no completing write was tried, or none failed and a part is left. */
         NOT_SENT,
-        /** A write failed that may have taken effect, or may still. */
+        /** A write failed, but may have reached the peer, or may still reach it. */
         IN_DOUBT,
         /** The socket took all of it. */
         SENT
@@ -30,28 +30,28 @@
 
     /** A rule that an action would have broken. */
     public enum Violation {
-        /** A process decides that does not hold the lock of its state folder. */
+        /** A decision by a process that does not hold the lock of its state folder. */
         DECISION_WITHOUT_LOCK,
-        /** A call whose attempt the journal does not hold. */
+        /** A call whose attempt is not recorded in the journal. */
         CALL_NOT_RECORDED,
-        /** A call of a message whose attempt is another call. */
+        /** A call of a message that is in another call at the same time. */
         SECOND_CALL_AT_ONCE,
-        /** A call to an endpoint that drains, is gone or was taken out. */
+        /** A call to an endpoint that is draining, gone or disabled by operators. */
         CALL_TO_UNAVAILABLE_ENDPOINT,
-        /** A repeat of an unsafe message that may have run. */
+        /** A repeat of an unsafe message that may have taken effect. */
         REPEAT_OF_UNSAFE,
-        /** A repeat of a keyed message after its key may have been forgotten. */
+        /** A repeat of a keyed message after its dedup window, when its key may have been forgotten. */
         REPEAT_AFTER_KEY_WINDOW,
         /** A repeat of a keyed message in a zone that does not know its key. */
         REPEAT_IN_OTHER_ZONE,
-        /** A refusal, which promises that a repeat is harmless, of a message for which it is not. */
+        /** A refusal of a message whose repeat is not harmless, as a refusal promises. */
         REFUSAL_AFTER_RUN
     }
 
     /**
-     * An attempt whose first byte is about to be written. {@code recorded}: the journal holds it. {@code current}:
-     * the message is in no other call. {@code available}: the endpoint may get new calls. {@code history}: what
-     * earlier attempts may have done. {@code zone}: the endpoint's.
+     * An attempt whose first byte is about to be written. {@code recorded}: it is in the journal. {@code current}:
+     * the message is in no other call. {@code available}: the endpoint may get new calls. {@code history}: the
+     * earlier attempts. {@code zone}: the zone of the endpoint.
      */
     public record Attempt(
             MessageClass messageClass,
@@ -61,24 +61,26 @@
             Courier.AttemptHistory history,
             String zone) {}
 
-    /** True where sending a message once more does no harm. {@code remembered}: endpoints still know its key. */
-    static boolean mayRepeat(final Effect effect, final boolean mayHaveRun, final boolean remembered) {
-        return !mayHaveRun || effect == Effect.SAFE || effect == Effect.KEYED && remembered;
+    /** True if another delivery is harmless. {@code keyRemembered}: the destination still recognizes its key. */
+    static boolean mayRepeat(final Effect effect, final boolean mayHaveTakenEffect, final boolean keyRemembered) {
+        return !mayHaveTakenEffect || effect == Effect.SAFE || effect == Effect.KEYED && keyRemembered;
     }
 
-    /** True where a client may be told that handing its message in again, to any courier, is harmless. */
-    public static boolean mayRefuse(final MessageClass kind, final boolean mayHaveRun) {
-        return !mayHaveRun || kind.effect() == Effect.SAFE || kind.effect() == Effect.KEYED && !kind.dedupPerZone();
+    /** True if a client may be told that submitting its message again, to any courier, is harmless. */
+    public static boolean mayRefuse(final MessageClass messageClass, final boolean mayHaveTakenEffect) {
+        return !mayHaveTakenEffect
+                || messageClass.effect() == Effect.SAFE
+                || messageClass.effect() == Effect.KEYED && !messageClass.dedupPerZone();
     }
 
-    /** True where a message may be dropped because its client was not told that it is taken on. */
+    /** True if a message may be dropped because its client cannot have received the answer that accepts it. */
     public static boolean mayWithdraw(final Transmission acceptance) {
         return acceptance == Transmission.NOT_SENT;
     }
 
     /**
-     * The result of an attempt that no answer has ended. {@code reason}: why it was given up, or
-     * {@link Result#NO_CONNECTION} where its connection broke.
+     * The result of an attempt that ended without an answer. {@code reason}: why it was given up, or
+     * {@link Result#NO_CONNECTION} if its connection broke.
      */
     public static Result resultOf(final Transmission request, final Result reason) {
         if (request == Transmission.NOT_SENT) {
@@ -87,7 +89,7 @@
         return reason.hadNoEffect() ? Result.RESET : reason;
     }
 
-    /** The rule that writing an attempt now would break, if any. */
+    /** The rule that sending an attempt now would break, if any. */
     public static Optional<Violation> violationOf(final Attempt attempt, final long nowUs) {
         if (!attempt.recorded()) {
             return Optional.of(Violation.CALL_NOT_RECORDED);
@@ -102,30 +104,34 @@
     }
 
     private static Optional<Violation> repeatViolation(final Attempt attempt, final long nowUs) {
-        final MessageClass kind = attempt.messageClass();
-        final Courier.AttemptHistory past = attempt.history();
-        final boolean remembered = nowUs < past.firstEffectUs() + kind.dedupWindowUs();
-        if (!mayRepeat(kind.effect(), past.mayHaveTakenEffect(), remembered)) {
+        final MessageClass messageClass = attempt.messageClass();
+        final Courier.AttemptHistory history = attempt.history();
+        final boolean keyRemembered = nowUs < history.firstEffectUs() + messageClass.dedupWindowUs();
+        if (!mayRepeat(messageClass.effect(), history.mayHaveTakenEffect(), keyRemembered)) {
             return Optional.of(
-                    kind.effect() == Effect.UNSAFE ? Violation.REPEAT_OF_UNSAFE : Violation.REPEAT_AFTER_KEY_WINDOW);
+                    messageClass.effect() == Effect.UNSAFE
+                            ? Violation.REPEAT_OF_UNSAFE
+                            : Violation.REPEAT_AFTER_KEY_WINDOW);
         }
-        if (past.mayHaveTakenEffect() && kind.dedupPerZone() && !attempt.zone().equals(past.effectZone())) {
+        if (history.mayHaveTakenEffect()
+                && messageClass.dedupPerZone()
+                && !attempt.zone().equals(history.effectZone())) {
             return Optional.of(Violation.REPEAT_IN_OTHER_ZONE);
         }
         return Optional.empty();
     }
 
-    /** An action was not taken because it would have broken that rule. */
+    /** Counts an action that was not taken because it would have broken a rule. */
     public void count(final Violation violation) {
         counts.merge(violation, 1L, Long::sum);
     }
 
-    /** Actions that were not taken, by rule. */
+    /** Number of actions that were not taken, by rule. */
     public Map<Violation, Long> counts() {
         return Map.copyOf(counts);
     }
 
-    /** Actions that were not taken. */
+    /** Number of actions that were not taken. */
     public long total() {
         return counts.values().stream().mapToLong(Long::longValue).sum();
     }
--- a/src/main/java/railspar/DestinationTable.java
+++ b/src/main/java/railspar/DestinationTable.java
@@ -13,26 +13,26 @@
 import railspar.Control.Route;
 
 /**
- * The destinations that a courier keeps state for, and their endpoints. State begins with a destination's first
- * message, from what the {@link Courier.Directory} says then. A step visits only the active destinations; one that
- * becomes active again first takes the steps that it has missed. Of the idle ones, the state of those used last is
- * kept. It decides nothing: {@link Control} says what a new route holds, what a step does and which route may be
- * dropped.
+ * The destinations that a courier keeps state for, and their endpoints. State begins with the first event at a
+ * destination, from what the {@link Courier.Directory} says then. A step visits only the active destinations; one
+ * that becomes active again first takes the steps that it has missed. Of the idle destinations, the state of those
+ * used last is kept. This class decides nothing: {@link Control} defines what a new route holds, what a step does
+ * and which route's state may be dropped.
  */
 final class DestinationTable {
     private final Courier.Settings settings;
     private final Courier.Directory directory;
-    private final int mostResting;
-    private final Function<Courier.DestinationKind, Route> newLane;
-    private final Consumer<Route> step;
-    private final ObjLongConsumer<Route> rest;
+    private final int maxIdle;
+    private final Function<Courier.DestinationKind, Route> newRoute;
+    private final Consumer<Route> stepRoute;
+    private final ObjLongConsumer<Route> catchUpRoute;
     private final Predicate<Route> mayForget;
     private final Map<Long, DestinationState> destinations = new HashMap<>();
-    private final Map<Long, EndpointState> nodes = new HashMap<>();
+    private final Map<Long, EndpointState> endpoints = new HashMap<>();
     /** Destinations that the next step visits. */
     private final Map<Long, DestinationState> active = new LinkedHashMap<>();
-    /** The others, the one that has rested for longest first. */
-    private final Map<Long, DestinationState> resting = new LinkedHashMap<>();
+    /** Destinations with state that are not active, the one that has been idle for longest first. */
+    private final Map<Long, DestinationState> idle = new LinkedHashMap<>();
 
     private long stepsTaken;
     private long routesVisited;
@@ -41,26 +41,26 @@
     DestinationTable(
             final Courier.Settings settings,
             final Courier.Directory directory,
-            final int mostResting,
-            final Function<Courier.DestinationKind, Route> newLane,
-            final Consumer<Route> step,
-            final ObjLongConsumer<Route> rest,
+            final int maxIdle,
+            final Function<Courier.DestinationKind, Route> newRoute,
+            final Consumer<Route> stepRoute,
+            final ObjLongConsumer<Route> catchUpRoute,
             final Predicate<Route> mayForget) {
         this.settings = settings;
         this.directory = directory;
-        this.mostResting = mostResting;
-        this.newLane = newLane;
-        this.step = step;
-        this.rest = rest;
+        this.maxIdle = maxIdle;
+        this.newRoute = newRoute;
+        this.stepRoute = stepRoute;
+        this.catchUpRoute = catchUpRoute;
         this.mayForget = mayForget;
     }
 
-    /** The destinations with state, and how much was visited so far. */
+    /** The number of destinations with state, and the work done since the start. */
     Courier.Workload workload() {
         return new Courier.Workload(destinations.size(), routesVisited, messagesExamined);
     }
 
-    /** Counts waiting messages that were examined. */
+    /** Adds to the count of waiting messages examined. */
     void countExaminedMessages(final int count) {
         messagesExamined += count;
     }
@@ -81,144 +81,153 @@
             }
         }
         if (active.putIfAbsent(id, destination) == null) {
-            resting.remove(id);
+            idle.remove(id);
             catchUp(destination);
         }
         return destination;
     }
 
     /**
-     * The state of an endpoint, which begins here if it has none; null for one that the directory does not know. It
-     * may know one that the list no longer names, as long as a call to it is in flight.
+     * The state of an endpoint, which begins here if it has none; null if the directory does not know the endpoint.
+     * The directory may know an endpoint that the list no longer names, as long as a call to it is in flight.
      */
-    EndpointState endpoint(final long endpoint) {
-        final EndpointState known = nodes.get(endpoint);
-        final Courier.Endpoint entry = known == null ? directory.endpoint(endpoint) : known.entry;
+    EndpointState endpoint(final long endpointId) {
+        final EndpointState endpoint = endpoints.get(endpointId);
+        final Courier.Endpoint entry = endpoint == null ? directory.endpoint(endpointId) : endpoint.entry;
         if (entry == null) {
             return null;
         }
         final DestinationState destination = activate(entry.destination());
-        if (!nodes.containsKey(endpoint)) {
+        if (!endpoints.containsKey(endpointId)) {
             apply(destination, entry);
         }
-        return nodes.get(endpoint);
+        return endpoints.get(endpointId);
     }
 
-    /** As {@link #endpoint}, but null where there is no state; it is brought up to date. */
-    EndpointState knownEndpoint(final long endpoint) {
-        return nodes.containsKey(endpoint) ? endpoint(endpoint) : null;
+    /** As {@link #endpoint}, but null if the endpoint has no state; takes the steps that it has missed. */
+    EndpointState existingEndpoint(final long endpointId) {
+        return endpoints.containsKey(endpointId) ? endpoint(endpointId) : null;
     }
 
-    /** A second is over: visits the lanes that had calls or messages in it; what has neither rests from here on. */
+    /** Takes the step of each second on all active routes; a destination without open messages becomes idle. */
     void step() {
         stepsTaken++;
         for (final Map.Entry<Long, DestinationState> entry : List.copyOf(active.entrySet())) {
             final DestinationState destination = entry.getValue();
             routesVisited += destination.routes.size();
-            destination.routes.forEach(step);
+            destination.routes.forEach(stepRoute);
             destination.lastStep = stepsTaken;
             if (destination.openMessages == 0) {
                 active.remove(entry.getKey());
-                resting.put(entry.getKey(), destination);
-                forgetGone(destination);
+                idle.put(entry.getKey(), destination);
+                dropGoneEndpoints(destination);
             }
         }
-        forgetRested();
+        dropExcessIdle();
     }
 
-    /** Takes the steps that a destination at rest has missed, at one visit of each lane. */
+    /** Takes the steps that an idle destination has missed, with one visit of each route. */
     private void catchUp(final DestinationState destination) {
         final long missed = stepsTaken - destination.lastStep;
         if (missed > 0) {
             routesVisited += destination.routes.size();
-            destination.routes.forEach(lane -> rest.accept(lane, missed));
+            destination.routes.forEach(route -> catchUpRoute.accept(route, missed));
         }
         destination.lastStep = stepsTaken;
     }
 
-    /** Forgets what has rested for longest, where there is too much; what may not be forgotten counts as used. */
-    private void forgetRested() {
-        for (int excess = resting.size() - mostResting; excess > 0; excess--) {
+    /**
+     * Drops the state of the destinations idle for longest, down to the maximum. One whose state may not be dropped
+     * is treated as just used instead.
+     */
+    private void dropExcessIdle() {
+        for (int excess = idle.size() - maxIdle; excess > 0; excess--) {
             final Map.Entry<Long, DestinationState> oldest =
-                    resting.entrySet().iterator().next();
+                    idle.entrySet().iterator().next();
             final long id = oldest.getKey();
             final DestinationState destination = oldest.getValue();
-            resting.remove(id);
+            idle.remove(id);
             if (destination.routes.stream().allMatch(mayForget)) {
-                destination.routes.forEach(lane -> lane.endpoints.forEach(node -> nodes.remove(node.entry.id(), node)));
+                destination.routes.forEach(
+                        route -> route.endpoints.forEach(endpoint -> endpoints.remove(endpoint.entry.id(), endpoint)));
                 destinations.remove(id);
             } else {
-                resting.put(id, destination);
+                idle.put(id, destination);
             }
         }
     }
 
     // ---------------------------------------------------------------- the list
 
-    /** The list has changed: takes up what it says of the destinations that have state. */
+    /** Applies a change of the list to the destinations that have state. */
     void update(final Courier.ListUpdate update, final List<Courier.Endpoint> entries) {
         directory.update(update, entries);
         if (update == Courier.ListUpdate.INCREMENTAL) {
             entries.forEach(this::apply);
         } else {
-            destinations.forEach(this::reread);
+            destinations.forEach(this::reload);
         }
     }
 
-    private void reread(final long id, final DestinationState destination) {
-        destination.routes.forEach(lane -> lane.endpoints.forEach(node -> node.condition = Courier.Condition.GONE));
+    private void reload(final long id, final DestinationState destination) {
+        destination.routes.forEach(
+                route -> route.endpoints.forEach(endpoint -> endpoint.condition = Courier.Condition.GONE));
         directory.endpointsOf(id).forEach(entry -> apply(destination, entry));
-        forgetGone(destination);
+        dropGoneEndpoints(destination);
     }
 
     private void apply(final Courier.Endpoint entry) {
-        final EndpointState known = nodes.get(entry.id());
-        if (known != null && known.entry.destination() != entry.destination()) {
-            known.condition = Courier.Condition.GONE;
-            nodes.remove(entry.id());
+        final EndpointState endpoint = endpoints.get(entry.id());
+        if (endpoint != null && endpoint.entry.destination() != entry.destination()) {
+            endpoint.condition = Courier.Condition.GONE;
+            endpoints.remove(entry.id());
         }
         final DestinationState destination = destinations.get(entry.destination());
-        final boolean unknownIsGone = known == null && entry.condition() == Courier.Condition.GONE;
+        final boolean unknownIsGone = endpoint == null && entry.condition() == Courier.Condition.GONE;
         if (destination != null && !unknownIsGone) {
             apply(destination, entry);
-            forgetGone(destination);
+            dropGoneEndpoints(destination);
         }
     }
 
     private void apply(final DestinationState destination, final Courier.Endpoint entry) {
-        EndpointState node = nodes.get(entry.id());
-        if (node == null) {
-            node = new EndpointState(
-                    entry, lane(destination, entry), settings.classes().size());
-            node.route.endpoints.add(node);
-            nodes.put(entry.id(), node);
+        EndpointState endpoint = endpoints.get(entry.id());
+        if (endpoint == null) {
+            endpoint = new EndpointState(
+                    entry, routeOf(destination, entry), settings.classes().size());
+            endpoint.route.endpoints.add(endpoint);
+            endpoints.put(entry.id(), endpoint);
         }
-        node.condition = entry.condition();
+        endpoint.condition = entry.condition();
         if (settings.weightMeaning() != Courier.WeightMeaning.NONE) {
-            node.route.listedLimit = entry.weight();
-            // What answers report is newer and nearer than the list's figure.
-            final boolean keep = node.route.exactLimit && node.route.rateLimit > 0;
-            node.route.rateLimit = keep ? node.route.rateLimit : entry.weight();
+            endpoint.route.listedLimit = entry.weight();
+            // A limit that an answer reported is newer and more exact than the list's.
+            final boolean keep = endpoint.route.exactRate && endpoint.route.rateLimit > 0;
+            endpoint.route.rateLimit = keep ? endpoint.route.rateLimit : entry.weight();
         }
     }
 
-    private Route lane(final DestinationState destination, final Courier.Endpoint entry) {
-        final Courier.DestinationKind kind = entry.destinationKind() < 0
+    private Route routeOf(final DestinationState destination, final Courier.Endpoint entry) {
+        final Courier.DestinationKind destinationKind = entry.destinationKind() < 0
                 ? new Courier.DestinationKind("", false, 1)
                 : settings.destinationKinds().get(entry.destinationKind());
-        if (kind.separateRoutes() || destination.routes.isEmpty()) {
-            destination.routes.add(newLane.apply(kind));
+        if (destinationKind.separateRoutes() || destination.routes.isEmpty()) {
+            destination.routes.add(newRoute.apply(destinationKind));
         }
         return destination.routes.get(destination.routes.size() - 1);
     }
 
-    /** Forgets endpoints that are gone; not a route apart: listed again, it still has its wait and its outage. */
-    private void forgetGone(final DestinationState destination) {
-        for (final Route lane : destination.routes) {
-            lane.endpoints.removeIf(node -> node.condition == Courier.Condition.GONE
-                    && node.callsInFlight == 0
-                    && !lane.destinationKind.separateRoutes()
-                    && (nodes.remove(node.entry.id(), node) || nodes.get(node.entry.id()) != node));
+    /**
+     * Drops the state of endpoints that are gone, but not of a separate route: listed again, it still has its wait
+     * and its outage.
+     */
+    private void dropGoneEndpoints(final DestinationState destination) {
+        for (final Route route : destination.routes) {
+            route.endpoints.removeIf(endpoint -> endpoint.condition == Courier.Condition.GONE
+                    && endpoint.inFlight == 0
+                    && !route.destinationKind.separateRoutes()
+                    && (endpoints.remove(endpoint.entry.id(), endpoint)
+                            || endpoints.get(endpoint.entry.id()) != endpoint));
         }
     }
 }
--- a/src/main/java/railspar/EndpointMap.java
+++ b/src/main/java/railspar/EndpointMap.java
@@ -8,16 +8,16 @@
 import java.util.Set;
 
 /**
- * A list of endpoints in plain maps, kept up to date by what the decisions are told: for hosts without one of their
- * own.
+ * A directory of endpoints in maps, kept up to date by the list's changes; for hosts that do not keep a directory of
+ * their own.
  */
 final class EndpointMap implements Courier.Directory {
     private final Map<Long, Courier.Endpoint> endpoints = new HashMap<>();
-    private final Map<Long, List<Long>> ofDestination = new HashMap<>();
+    private final Map<Long, List<Long>> idsByDestination = new HashMap<>();
 
     @Override
     public List<Courier.Endpoint> endpointsOf(final long destination) {
-        return ofDestination.getOrDefault(destination, List.of()).stream()
+        return idsByDestination.getOrDefault(destination, List.of()).stream()
                 .map(endpoints::get)
                 .toList();
     }
@@ -30,10 +30,10 @@
     @Override
     public void update(final Courier.ListUpdate update, final List<Courier.Endpoint> entries) {
         if (update != Courier.ListUpdate.INCREMENTAL) {
-            final Set<Long> named = new HashSet<>();
-            entries.forEach(entry -> named.add(entry.id()));
+            final Set<Long> listed = new HashSet<>();
+            entries.forEach(entry -> listed.add(entry.id()));
             endpoints.keySet().stream()
-                    .filter(id -> !named.contains(id))
+                    .filter(id -> !listed.contains(id))
                     .toList()
                     .forEach(this::remove);
         }
@@ -50,7 +50,7 @@
             remove(entry.id());
         }
         if (endpoints.put(entry.id(), entry) == null) {
-            ofDestination
+            idsByDestination
                     .computeIfAbsent(entry.destination(), unused -> new ArrayList<>())
                     .add(entry.id());
         }
@@ -59,7 +59,7 @@
     private void remove(final long id) {
         final Courier.Endpoint entry = endpoints.remove(id);
         if (entry != null) {
-            ofDestination.get(entry.destination()).remove(id);
+            idsByDestination.get(entry.destination()).remove(id);
         }
     }
 }
--- a/src/main/java/railspar/RouteState.java
+++ b/src/main/java/railspar/RouteState.java
@@ -12,42 +12,40 @@
     /** A time that does not come. */
     static final long NEVER = Long.MAX_VALUE;
 
-    /**
-     * Whether calls are made freely, as single probes, or in a warmup at the rate that a cold destination bears.
-     */
+    /** Whether calls are made freely, as single probes, or at the rate that a cold destination bears. */
     enum Phase {
         HEALTHY,
         PROBE,
         WARMUP
     }
 
-    /** Most calls in flight. */
+    /** Maximum number of calls in flight. */
     double window;
-    /** Numbers of steps and of service times that the averages contain. */
+    /** Numbers of steps and of service times in the averages. */
     int steps, latencySamples;
     /**
-     * Moving averages: messages served a second, mean latency of a step and service time relative to the class's
-     * usual one; and the factor on timeouts.
+     * Moving averages: messages served per second; the mean latency of a step and the service time, both relative to
+     * the class's usual service time. And the factor on timeouts.
      */
     double servedRate, meanLatencyRatio = 1, slowdown = 1, timeoutFactor = 1;
-    /** The known rate limit (0: none), and the sends allowed now, both a second. */
+    /** The known rate limit (0: none) and the sends allowed now, both per second. */
     double rateLimit, sendsPerSecond = Double.POSITIVE_INFINITY;
-    /** The last step saw high latency or many refusals. */
+    /** True if the last step saw high latency or many refusals. */
     boolean degraded;
-    /** The known limit came with an answer, and is exact where the list's may be approximate. */
-    boolean exactLimit;
+    /** True if {@code rateLimit} came with an answer, so that it is exact; the list's may be approximate. */
+    boolean exactRate;
 
     Phase phase = Phase.HEALTHY;
-    /** Weight of the consecutive bad outcomes, and the share of failures. */
+    /** Weight of the failures since the last success, and the moving share of failures. */
     double failureRun, failureShare;
-    /** Time between two calls of a warmup, before it is divided by the share that a cold destination bears. */
+    /** Interval of calls in WARMUP, before it is divided by the share that overloads a cold destination. */
     double warmupIntervalUs;
-    /** Since when nothing was served there; never, while it is healthy. */
+    /** Since when calls have failed without a success; NEVER while there is no failure. */
     long failingSinceUs = NEVER;
-    /** Until when a requested wait and a backoff last, when the next probe is due, and when the warmup began. */
+    /** Ends of the requested wait and of the backoff, the next probe's time, the warmup's start, the last send. */
     long retryAfterUntilUs, backoffUntilUs, nextProbeUs, warmupFromUs, lastSendUs;
 
-    /** Writes figures and times by name, for the process that takes over. */
+    /** Writes the state by name, for the snapshot that a successor process reads. */
     void writeTo(final Map<String, Double> figures, final Map<String, Long> timesUs) {
         figures.put("window", window);
         figures.put("rate", servedRate);
@@ -58,7 +56,7 @@
         figures.put("stretch", timeoutFactor);
         figures.put("told", rateLimit);
         figures.put("spacing", sendsPerSecond);
-        figures.put("reported", exactLimit ? 1.0 : 0);
+        figures.put("reported", exactRate ? 1.0 : 0);
         figures.put("phase", (double) phase.ordinal());
         figures.put("slow", degraded ? 1.0 : 0);
         figures.put("badRun", failureRun);
@@ -74,7 +72,10 @@
         }
     }
 
-    /** Takes what {@link #writeTo} wrote; a figure that is missing stays, a time that is missing never was. */
+    /**
+     * Reads what {@link #writeTo} wrote. Without their value, averages, limits and failure figures keep what they
+     * have; counts, flags and the phase are reset, and times count as not set.
+     */
     void readFrom(final Map<String, Double> figures, final Map<String, Long> timesUs) {
         window = figures.getOrDefault("window", window);
         servedRate = figures.getOrDefault("rate", servedRate);
@@ -87,7 +88,7 @@
         failureShare = figures.getOrDefault("failShare", failureShare);
         steps = figures.getOrDefault("steps", 0.0).intValue();
         latencySamples = figures.getOrDefault("paceSamples", 0.0).intValue();
-        exactLimit = figures.getOrDefault("reported", 0.0) > 0;
+        exactRate = figures.getOrDefault("reported", 0.0) > 0;
         phase = Phase.values()[figures.getOrDefault("phase", 0.0).intValue()];
         degraded = figures.getOrDefault("slow", 0.0) > 0;
         warmupIntervalUs = figures.getOrDefault("rampSpan", 0.0);
@@ -99,23 +100,24 @@
         failingSinceUs = timesUs.getOrDefault("trouble", NEVER);
     }
 
-    /** How it stands, for the log; {@code calls}: those in flight, of how many. */
+    /** The state in a line for the log; {@code calls}: those in flight, and the maximum. */
     String describe(final String calls, final long nowUs) {
         final String figures = String.format(
                 Locale.ROOT,
-                " window %.1f rate %.1f spacing %.1f told %.1f pace %.2f",
+                " window %.1f served/s %.1f sends/s %.1f limit/s %.1f slowdown %.2f",
                 window,
                 servedRate,
                 sendsPerSecond,
                 rateLimit,
                 slowdown);
-        final long trialMs = phase == Phase.PROBE ? aheadMs(nextProbeUs, nowUs) : 0;
-        return phase + (degraded ? " slow" : "") + " out " + calls + figures + " wait "
-                + aheadMs(retryAfterUntilUs, nowUs) + " pause " + aheadMs(backoffUntilUs, nowUs) + " trial " + trialMs
+        final long probeMs = phase == Phase.PROBE ? remainingMs(nextProbeUs, nowUs) : 0;
+        return phase + (degraded ? " degraded" : "") + " in flight " + calls + figures + " retry-after "
+                + remainingMs(retryAfterUntilUs, nowUs) + " backoff " + remainingMs(backoffUntilUs, nowUs)
+                + " next probe " + probeMs
                 + " ms";
     }
 
-    private static long aheadMs(final long atUs, final long nowUs) {
+    private static long remainingMs(final long atUs, final long nowUs) {
         return Math.max(0, atUs - nowUs) / 1000;
     }
 }
--- a/src/test/java/railspar/ControlTest.java
+++ b/src/test/java/railspar/ControlTest.java
@@ -521,9 +521,9 @@
                     one.nowUs, one.deliveredWithLimit("m" + limit, new Courier.ReportedLimit(0.5, limit)));
             one.control.decide(one.nowUs);
         }
-        assertTrue(one.control.describe(DEST).contains("told 30.0"), one.control.describe(DEST));
+        assertTrue(one.control.describe(DEST).contains("limit/s 30.0"), one.control.describe(DEST));
         one.updateList(ListUpdate.INCREMENTAL, ControlFixture.endpoint(1, DEST, "a"));
-        assertTrue(one.control.describe(DEST).contains("told 30.0"), "what answers report is nearer");
+        assertTrue(one.control.describe(DEST).contains("limit/s 30.0"), "what answers report is nearer");
     }
 
     /** Day 2 of fukuoka-main: one refused call of ten messages made a crowded pub chain count as out for 13 s. */
