--- a/src/test/java/railspar/ControlFixture.java
+++ b/src/test/java/railspar/ControlFixture.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A scripted courier for tests: a made-up clock, recorded actions, and short words for the events. */
+/** A courier for tests: with a clock that the test advances, recorded actions, and short methods for the events. */
 final class ControlFixture implements Courier.Actions {
     static final long MS = 1000;
     static final long SECOND = 1_000_000;
@@ -22,7 +22,7 @@
     int listRequests;
     final Control control;
     long nowUs = 5 * SECOND;
-    private final List<Long> reminders = new ArrayList<>();
+    private final List<Long> wakeTimesUs = new ArrayList<>();
     private final Map<String, Integer> outcomes = new LinkedHashMap<>();
 
     ControlFixture(final Courier.Settings settings) {
@@ -33,25 +33,25 @@
         this.control = new Control(settings, seed, this);
     }
 
-    /** A courier that keeps what it has learned of at most so many destinations at rest. */
-    static ControlFixture withMaxIdleDestinations(final Courier.Settings settings, final int mostResting) {
-        return new ControlFixture(settings, 42, mostResting);
+    /** A courier that keeps the state of at most so many idle destinations. */
+    static ControlFixture withMaxIdleDestinations(final Courier.Settings settings, final int maxIdleDestinations) {
+        return new ControlFixture(settings, 42, maxIdleDestinations);
     }
 
-    private ControlFixture(final Courier.Settings settings, final long seed, final int mostResting) {
-        this.control = new Control(settings, seed, this, new EndpointMap(), mostResting);
+    private ControlFixture(final Courier.Settings settings, final long seed, final int maxIdleDestinations) {
+        this.control = new Control(settings, seed, this, new EndpointMap(), maxIdleDestinations);
     }
 
-    /** Well-mixed seeds for a fleet: neighbouring ones would begin alike. */
+    /** Well-mixed seeds for a fleet: generators with neighbouring seeds start alike. */
     static long seed(final int courier) {
         return (courier + 1) * 0x9E3779B97F4A7C15L;
     }
 
     /** Two endpoints of one destination, listed from the start. */
     static ControlFixture withTwoEndpoints(final Courier.Settings settings) {
-        final ControlFixture scene = new ControlFixture(settings);
-        scene.updateList(Courier.ListUpdate.CACHED, endpoint(1, DEST, "a"), endpoint(2, DEST, "b"));
-        return scene;
+        final ControlFixture fixture = new ControlFixture(settings);
+        fixture.updateList(Courier.ListUpdate.CACHED, endpoint(1, DEST, "a"), endpoint(2, DEST, "b"));
+        return fixture;
     }
 
     static Courier.Endpoint endpoint(final long id, final long destination, final String zone) {
@@ -62,38 +62,39 @@
         return new Courier.Endpoint(id, condition, "a", 1, 0, DEST);
     }
 
-    /** Settings in which all classes of the tests occur: 0 safe, 1 keyed, 2 unsafe, 3 in turn, 4 keyed by zone. */
-    static Courier.Settings settings(final int slots, final int perCall, final boolean apart, final boolean ask) {
+    /** Settings with all classes of the tests: 0 safe, 1 keyed, 2 unsafe, 3 safe and ordered, 4 keyed per zone. */
+    static Courier.Settings settings(
+            final int slots, final int messagesPerCall, final boolean separateRoutes, final boolean listOnRequest) {
         final List<Courier.MessageClass> classes = List.of(
-                kind("safe", Courier.Effect.SAFE, false, false, 2),
-                kind("keyed", Courier.Effect.KEYED, false, false, 1),
-                kind("unsafe", Courier.Effect.UNSAFE, false, false, 1),
-                kind("turn", Courier.Effect.SAFE, false, true, 1),
-                kind("zoned", Courier.Effect.KEYED, true, false, 1));
-        return settings(slots, perCall, apart, ask, Courier.WeightMeaning.NONE, classes);
+                messageClass("safe", Courier.Effect.SAFE, false, false, 2),
+                messageClass("keyed", Courier.Effect.KEYED, false, false, 1),
+                messageClass("unsafe", Courier.Effect.UNSAFE, false, false, 1),
+                messageClass("turn", Courier.Effect.SAFE, false, true, 1),
+                messageClass("zoned", Courier.Effect.KEYED, true, false, 1));
+        return settings(slots, messagesPerCall, separateRoutes, listOnRequest, Courier.WeightMeaning.NONE, classes);
     }
 
     private static Courier.Settings settings(
             final int slots,
-            final int perCall,
-            final boolean apart,
-            final boolean ask,
-            final Courier.WeightMeaning weights,
+            final int messagesPerCall,
+            final boolean separateRoutes,
+            final boolean listOnRequest,
+            final Courier.WeightMeaning weightMeaning,
             final List<Courier.MessageClass> classes) {
         return new Courier.Settings(
                 2,
                 "a",
-                ask,
-                weights,
+                listOnRequest,
+                weightMeaning,
                 Courier.ValueDecay.LINEAR,
                 classes,
                 List.of(),
-                List.of(new Courier.DestinationKind("std", apart, perCall)),
+                List.of(new Courier.DestinationKind("std", separateRoutes, messagesPerCall)),
                 new Courier.RuleParameters(10 * SECOND, 0.2, 10 * SECOND, 2, 3 * SECOND),
                 new Courier.Limits(slots, 40, 8, true, 10 * SECOND, 1, 2 * SECOND));
     }
 
-    /** As {@link #settings()}, with the limit told exactly. */
+    /** As {@link #settings()}, with exact limits in the list. */
     static Courier.Settings withNominalLimit() {
         return settings(
                 16, 1, false, false, Courier.WeightMeaning.NOMINAL, settings().classes());
@@ -103,7 +104,7 @@
         return settings(16, 1, false, false);
     }
 
-    /** As {@link #settings()}, with room for so many messages. */
+    /** As {@link #settings()}, with so many open messages at most. */
     static Courier.Settings withMaxOpenMessages(final int messages) {
         return settings(settings().fleetSize(), messages);
     }
@@ -114,18 +115,18 @@
     }
 
     private static Courier.Settings settings(final int couriers, final int maxOpen) {
-        final Courier.Settings few = settings();
-        final Courier.Limits limits = few.limits();
+        final Courier.Settings usual = settings();
+        final Courier.Limits limits = usual.limits();
         return new Courier.Settings(
                 couriers,
-                few.zone(),
-                few.listOnRequest(),
-                few.weightMeaning(),
-                few.valueDecay(),
-                few.classes(),
-                few.tenants(),
-                few.destinationKinds(),
-                few.ruleParameters(),
+                usual.zone(),
+                usual.listOnRequest(),
+                usual.weightMeaning(),
+                usual.valueDecay(),
+                usual.classes(),
+                usual.tenants(),
+                usual.destinationKinds(),
+                usual.ruleParameters(),
                 new Courier.Limits(
                         limits.maxCalls(),
                         maxOpen,
@@ -136,14 +137,14 @@
                         limits.maxRetryAfterUs()));
     }
 
-    private static Courier.MessageClass kind(
+    private static Courier.MessageClass messageClass(
             final String name,
             final Courier.Effect effect,
-            final boolean zoneKeyed,
-            final boolean inTurn,
-            final double worth) {
+            final boolean dedupPerZone,
+            final boolean ordered,
+            final double value) {
         return new Courier.MessageClass(
-                name, effect, zoneKeyed, inTurn, worth, 0.5, 2 * SECOND, 16 * SECOND, 6 * SECOND);
+                name, effect, dedupPerZone, ordered, value, 0.5, 2 * SECOND, 16 * SECOND, 6 * SECOND);
     }
 
     void updateList(final Courier.ListUpdate update, final Courier.Endpoint... entries) {
@@ -151,22 +152,22 @@
         control.decide(nowUs);
     }
 
-    void accept(final String id, final int kind) {
-        accept(id, kind, null, 16 * SECOND);
+    void accept(final String id, final int classIndex) {
+        accept(id, classIndex, null, 16 * SECOND);
     }
 
-    void accept(final String id, final int kind, final String key, final long lifeUs) {
-        control.onMessage(nowUs, new Courier.Message(id, kind, -1, key, nowUs + lifeUs, DEST));
+    void accept(final String id, final int classIndex, final String key, final long validForUs) {
+        control.onMessage(nowUs, new Courier.Message(id, classIndex, -1, key, nowUs + validForUs, DEST));
         control.decide(nowUs);
     }
 
-    /** Takes a message for another destination. */
-    void acceptFor(final String id, final int kind, final long destination) {
-        control.onMessage(nowUs, new Courier.Message(id, kind, -1, null, nowUs + 16 * SECOND, destination));
+    /** Accepts a message for another destination. */
+    void acceptFor(final String id, final int classIndex, final long destination) {
+        control.onMessage(nowUs, new Courier.Message(id, classIndex, -1, null, nowUs + 16 * SECOND, destination));
         control.decide(nowUs);
     }
 
-    /** Ends the last attempt of a message. */
+    /** Reports the outcome of a message's last attempt, and lets the courier decide. */
     void endAttempt(final String id, final Courier.Result result) {
         endAttempt(id, result, 0);
     }
@@ -192,27 +193,26 @@
                         null));
     }
 
-    /** The last attempt of a message is delivered, with a report of the limit. */
-    Courier.Outcome deliveredWithLimit(final String id, final Courier.ReportedLimit allowance) {
+    /** The outcome in which the last attempt of a message is delivered, with a reported limit. */
+    Courier.Outcome deliveredWithLimit(final String id, final Courier.ReportedLimit limit) {
         final Sent last = lastAttempt(id);
         outcomes.merge(id, 1, Integer::sum);
-        return new Courier.Outcome(
-                id, Courier.Result.DELIVERED, true, last.endpoint(), nowUs - last.atUs(), 0, allowance);
+        return new Courier.Outcome(id, Courier.Result.DELIVERED, true, last.endpoint(), nowUs - last.atUs(), 0, limit);
     }
 
-    /** Lets time pass, with the reminders that were asked for. */
+    /** Advances the clock, with the wake-ups that were requested. */
     void advance(final long us) {
-        final long until = nowUs + us;
+        final long untilUs = nowUs + us;
         while (true) {
             final long next =
-                    reminders.stream().mapToLong(Long::longValue).min().orElse(Long.MAX_VALUE);
-            if (next > until) {
-                nowUs = until;
+                    wakeTimesUs.stream().mapToLong(Long::longValue).min().orElse(Long.MAX_VALUE);
+            if (next > untilUs) {
+                nowUs = untilUs;
                 return;
             }
             nowUs = next;
             final long due = next;
-            reminders.removeIf(at -> at <= due);
+            wakeTimesUs.removeIf(at -> at <= due);
             control.decide(nowUs);
         }
     }
@@ -224,7 +224,7 @@
                 .orElseThrow();
     }
 
-    /** Attempts of a message that have their outcome. */
+    /** Number of attempts of a message that have their outcome. */
     long endedAttempts(final String id) {
         return outcomes.getOrDefault(id, 0);
     }
@@ -265,6 +265,6 @@
 
     @Override
     public void wakeAfter(final long delayUs) {
-        reminders.add(nowUs + delayUs);
+        wakeTimesUs.add(nowUs + delayUs);
     }
 }
--- a/src/test/java/railspar/ControlTest.java
+++ b/src/test/java/railspar/ControlTest.java
@@ -19,15 +19,15 @@
 import railspar.Courier.ListUpdate;
 import railspar.Courier.Result;
 
-/** The decisions, by behaviour: the table, each rule, each failure found. */
+/** The decisions of {@link Control}: Table I of the paper, each rule, and regressions. */
 final class ControlTest {
     private static final int SAFE = 0;
     private static final int KEYED = 1;
     private static final int UNSAFE = 2;
-    private static final int TURN = 3;
+    private static final int ORDERED = 3;
     private static final int ZONED = 4;
 
-    private final ControlFixture scene = ControlFixture.withTwoEndpoints(ControlFixture.settings());
+    private final ControlFixture fixture = ControlFixture.withTwoEndpoints(ControlFixture.settings());
 
     @ParameterizedTest
     @CsvSource({
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void theTableStaysInThePapersRange() {
+    void windowChangeStaysInThePapersRange() {
         for (int row = 0; row <= 20; row++) {
             for (int column = 0; column <= 20; column++) {
                 final double change = Control.tableOne(row / 20.0, column / 20.0);
@@ -56,38 +56,40 @@
     }
 
     @Test
-    void theWindowBoundsCallsInFlightAndGrowsWithServedSteps() {
+    void windowLimitsCallsInFlightAndGrowsWithServedCalls() {
         for (int index = 0; index < 10; index++) {
-            scene.accept("m" + index, SAFE);
+            fixture.accept("m" + index, SAFE);
         }
-        assertEquals(2, scene.sent.size(), "a new lane's window");
+        assertEquals(2, fixture.sent.size(), "a new route's window");
         serveFor(10);
-        final long before = scene.sent.size();
+        final long before = fixture.sent.size();
         for (int index = 0; index < 30; index++) {
-            scene.accept("late" + index, SAFE);
+            fixture.accept("late" + index, SAFE);
         }
-        final long inFlight = scene.sent.size() - before;
-        assertTrue(inFlight > 2 && inFlight <= 12, "grown, at most three quarters of 16 slots: " + inFlight);
+        final long inFlight = fixture.sent.size() - before;
+        assertTrue(
+                inFlight > 2 && inFlight <= 12,
+                "the window has grown, to at most three quarters of 16 slots: " + inFlight);
     }
 
     @Test
-    void refusalsShrinkTheWindowToItsFloorButNotBelow() {
+    void refusalsShrinkTheWindowToItsMinimumButNotBelow() {
         for (int round = 0; round < 12; round++) {
-            scene.accept("m" + round, SAFE);
-            scene.advance(SECOND);
-            outstanding().forEach(id -> scene.endAttempt(id, Result.REFUSED));
+            fixture.accept("m" + round, SAFE);
+            fixture.advance(SECOND);
+            outstanding().forEach(id -> fixture.endAttempt(id, Result.REFUSED));
         }
-        scene.advance(20 * SECOND);
-        assertTrue(outstanding().size() <= 1, "one call at a time at the floor");
-        assertTrue(scene.sent.size() > 3, "and still trying");
+        fixture.advance(20 * SECOND);
+        assertTrue(outstanding().size() <= 1, "one call at a time at the minimum window");
+        assertTrue(fixture.sent.size() > 3, "calls go on");
     }
 
     @Test
-    void everyMessageEndsExactlyOnceBeforeItsTimeIsUp() {
+    void everyMessageEndsExactlyOnceBeforeItsDeadline() {
         final ControlFixture empty = new ControlFixture(ControlFixture.settings());
         empty.accept("lonely", SAFE);
         empty.advance(15 * SECOND);
-        assertTrue(empty.refused.isEmpty(), "a destination without endpoints may get one yet");
+        assertTrue(empty.refused.isEmpty(), "a destination without endpoints may still get one");
         empty.advance(SECOND);
         assertEquals(List.of("lonely"), empty.refused);
         empty.advance(5 * SECOND);
@@ -95,58 +97,58 @@
     }
 
     @Test
-    void aSafeMessageIsSentAgainAfterAReset() {
-        scene.accept("m", SAFE);
-        scene.endAttempt("m", Result.RESET);
-        scene.advance(3 * SECOND);
-        assertEquals(2, scene.attemptCount("m"));
+    void safeMessageIsRetriedAfterAReset() {
+        fixture.accept("m", SAFE);
+        fixture.endAttempt("m", Result.RESET);
+        fixture.advance(3 * SECOND);
+        assertEquals(2, fixture.attemptCount("m"));
     }
 
     @Test
-    void anUnsafeMessageThatMayHaveRunGetsNoSecondAttemptAndNoRefusal() {
-        scene.accept("pay", UNSAFE);
-        scene.endAttempt("pay", Result.RESET);
-        assertEquals(List.of("pay"), scene.failed);
-        scene.advance(20 * SECOND);
-        assertEquals(1, scene.attemptCount("pay"));
-        assertTrue(scene.refused.isEmpty());
+    void unsafeMessageThatMayHaveTakenEffectIsNeitherRetriedNorRefused() {
+        fixture.accept("pay", UNSAFE);
+        fixture.endAttempt("pay", Result.RESET);
+        assertEquals(List.of("pay"), fixture.failed);
+        fixture.advance(20 * SECOND);
+        assertEquals(1, fixture.attemptCount("pay"));
+        assertTrue(fixture.refused.isEmpty());
     }
 
     @Test
-    void anUnsafeMessageThatNeverRanIsSentAgain() {
-        scene.accept("pay", UNSAFE);
-        scene.endAttempt("pay", Result.NO_CONNECTION);
-        scene.advance(2 * SECOND);
-        assertEquals(2, scene.attemptCount("pay"));
+    void unsafeMessageThatHadNoEffectIsRetried() {
+        fixture.accept("pay", UNSAFE);
+        fixture.endAttempt("pay", Result.NO_CONNECTION);
+        fixture.advance(2 * SECOND);
+        assertEquals(2, fixture.attemptCount("pay"));
     }
 
     @Test
-    void anUnsafeAttemptHasTheWholeTimeOfItsMessage() {
-        scene.accept("pay", UNSAFE);
-        assertEquals(16 * SECOND, scene.lastAttempt("pay").timeoutUs());
+    void unsafeAttemptMayUseTheWholeTimeOfItsMessage() {
+        fixture.accept("pay", UNSAFE);
+        assertEquals(16 * SECOND, fixture.lastAttempt("pay").timeoutUs());
     }
 
     @Test
-    void aKeyedMessageIsSentAgainOnlyInsideItsKeysWindow() {
-        scene.updateList(ListUpdate.FULL, ControlFixture.endpoint(1, DEST, "a"));
-        scene.accept("m", KEYED);
-        final long first = scene.nowUs;
-        scene.endAttempt("m", Result.ERROR);
-        assertEquals(2, scene.attemptCount("m"));
-        scene.endAttempt("m", Result.REFUSED, 10 * SECOND);
-        scene.advance(8 * SECOND);
-        assertEquals(2, scene.attemptCount("m"), "the wait ends after the window");
-        assertEquals(List.of("m"), scene.refused);
-        assertTrue(scene.lastAttempt("m").atUs() - first <= 6 * SECOND);
+    void keyedMessageIsRetriedOnlyInsideItsDedupWindow() {
+        fixture.updateList(ListUpdate.FULL, ControlFixture.endpoint(1, DEST, "a"));
+        fixture.accept("m", KEYED);
+        final long first = fixture.nowUs;
+        fixture.endAttempt("m", Result.ERROR);
+        assertEquals(2, fixture.attemptCount("m"));
+        fixture.endAttempt("m", Result.REFUSED, 10 * SECOND);
+        fixture.advance(8 * SECOND);
+        assertEquals(2, fixture.attemptCount("m"), "the retry-after ends after the dedup window");
+        assertEquals(List.of("m"), fixture.refused);
+        assertTrue(fixture.lastAttempt("m").atUs() - first <= 6 * SECOND);
     }
 
     @Test
-    void aKeyedAttemptEndsEarlyEnoughForAnother() {
-        scene.accept("m", KEYED);
-        assertTrue(scene.lastAttempt("m").timeoutUs() <= 5500 * MS, "inside the window of six seconds");
+    void keyedAttemptTimesOutEarlyEnoughForARetry() {
+        fixture.accept("m", KEYED);
+        assertTrue(fixture.lastAttempt("m").timeoutUs() <= 5500 * MS, "inside the dedup window of six seconds");
     }
 
-    /** Settings with one class of that effect, deadline and window for repeats. */
+    /** Settings with one class of that effect, deadline and dedup window. */
     private static Courier.Settings brief(final Courier.Effect effect, final long deadlineUs, final long windowUs) {
         final Courier.Settings usual = ControlFixture.settings();
         return new Courier.Settings(
@@ -164,263 +166,266 @@
     }
 
     @Test
-    void anAttemptLeavesRoomForARepeatInsideAShortWindow() {
+    void attemptLeavesTimeForARetryInsideAShortDedupWindow() {
         final ControlFixture brief = ControlFixture.withTwoEndpoints(brief(Courier.Effect.KEYED, 2 * SECOND, SECOND));
         brief.accept("m", 0, null, 2 * SECOND);
         final long timeoutUs = brief.lastAttempt("m").timeoutUs();
-        assertTrue(timeoutUs <= SECOND / 2, "it takes " + timeoutUs + " us of a window of one second");
+        assertTrue(timeoutUs <= SECOND / 2, "timeout of " + timeoutUs + " us in a dedup window of one second");
         brief.advance(timeoutUs);
         brief.endAttempt("m", Result.TIMED_OUT);
-        assertEquals(2, brief.attemptCount("m"), "the repeat goes inside the window");
+        assertEquals(2, brief.attemptCount("m"), "the retry is sent inside the dedup window");
     }
 
     @Test
-    void anAttemptLeavesRoomForARepeatInsideAShortDeadline() {
+    void attemptLeavesTimeForARetryBeforeAShortDeadline() {
         final ControlFixture brief = ControlFixture.withTwoEndpoints(brief(Courier.Effect.SAFE, 2 * SECOND, 0));
         brief.accept("m", 0, null, 2 * SECOND);
         assertTrue(
                 brief.lastAttempt("m").timeoutUs() <= SECOND,
-                "it takes " + brief.lastAttempt("m").timeoutUs() + " us of two seconds");
+                "timeout of " + brief.lastAttempt("m").timeoutUs() + " us with a deadline of two seconds");
     }
 
     @Test
-    void aZoneKeyedMessageThatMayHaveRunStaysInItsZoneAndIsNeverRefused() {
-        scene.accept("m", ZONED);
-        final long endpoint = scene.lastAttempt("m").endpoint();
-        scene.endAttempt("m", Result.RESET);
-        scene.advance(20 * SECOND);
-        assertTrue(scene.sent.stream().allMatch(sent -> sent.endpoint() == endpoint));
-        assertTrue(scene.refused.isEmpty());
+    void zoneKeyedMessageThatMayHaveTakenEffectStaysInItsZoneAndIsNeverRefused() {
+        fixture.accept("m", ZONED);
+        final long endpoint = fixture.lastAttempt("m").endpoint();
+        fixture.endAttempt("m", Result.RESET);
+        fixture.advance(20 * SECOND);
+        assertTrue(fixture.sent.stream().allMatch(sent -> sent.endpoint() == endpoint));
+        assertTrue(fixture.refused.isEmpty());
     }
 
     @Test
-    void neverTwoAttemptsAtOnce() {
-        scene.accept("m", SAFE);
-        scene.advance(10 * SECOND);
-        assertEquals(1, scene.attemptCount("m"), "overdue, but not over");
+    void messageHasOneAttemptAtATime() {
+        fixture.accept("m", SAFE);
+        fixture.advance(10 * SECOND);
+        assertEquals(1, fixture.attemptCount("m"), "the overdue attempt has not ended");
     }
 
     @Test
-    void nothingNewGoesToAnEndpointThatDrainsOrIsGone() {
-        scene.updateList(ListUpdate.INCREMENTAL, ControlFixture.endpointIn(Condition.DRAINING, 1));
+    void drainingOrGoneEndpointGetsNoNewCalls() {
+        fixture.updateList(ListUpdate.INCREMENTAL, ControlFixture.endpointIn(Condition.DRAINING, 1));
         for (int index = 0; index < 4; index++) {
-            scene.accept("m" + index, SAFE);
-            outstanding().forEach(id -> scene.endAttempt(id, Result.DELIVERED));
+            fixture.accept("m" + index, SAFE);
+            outstanding().forEach(id -> fixture.endAttempt(id, Result.DELIVERED));
         }
-        assertTrue(scene.sent.stream().allMatch(sent -> sent.endpoint() == 2));
-        scene.updateList(ListUpdate.FULL, ControlFixture.endpoint(3, DEST, "a"));
-        final int before = scene.sent.size();
-        scene.accept("after", SAFE);
-        assertEquals(3, scene.sent.get(before).endpoint(), "missing from a whole list is gone");
+        assertTrue(fixture.sent.stream().allMatch(sent -> sent.endpoint() == 2));
+        fixture.updateList(ListUpdate.FULL, ControlFixture.endpoint(3, DEST, "a"));
+        final int before = fixture.sent.size();
+        fixture.accept("after", SAFE);
+        assertEquals(3, fixture.sent.get(before).endpoint(), "an endpoint that a full list does not name is gone");
     }
 
     @Test
-    void aToldWaitHoldsTheWholeDestinationForEveryMessage() {
-        scene.accept("m", SAFE);
-        scene.reportOutcome("m", Result.REFUSED, 1500 * MS);
-        scene.accept("other", KEYED);
-        scene.advance(1499 * MS);
-        assertEquals(1, scene.sent.size());
-        scene.advance(2500 * MS);
-        assertTrue(scene.sent.size() > 1);
+    void retryAfterBlocksTheWholeDestinationForEveryMessage() {
+        fixture.accept("m", SAFE);
+        fixture.reportOutcome("m", Result.REFUSED, 1500 * MS);
+        fixture.accept("other", KEYED);
+        fixture.advance(1499 * MS);
+        assertEquals(1, fixture.sent.size());
+        fixture.advance(2500 * MS);
+        assertTrue(fixture.sent.size() > 1);
     }
 
     @Test
-    void aWaitToldBehindTheEndOfAnAttemptHoldsAllTheSame() {
-        scene.control.onRetryAfter(scene.nowUs, 1, 1500 * MS);
-        scene.accept("m", SAFE);
-        scene.advance(1499 * MS);
-        assertEquals(0, scene.sent.size());
-        scene.advance(2 * MS);
-        assertEquals(1, scene.sent.size());
+    void retryAfterInALateAnswerBlocksToo() {
+        fixture.control.onRetryAfter(fixture.nowUs, 1, 1500 * MS);
+        fixture.accept("m", SAFE);
+        fixture.advance(1499 * MS);
+        assertEquals(0, fixture.sent.size());
+        fixture.advance(2 * MS);
+        assertEquals(1, fixture.sent.size());
     }
 
     @Test
-    void aToldWaitHoldsOnlyTheRouteWhereRoutesAreApart() {
-        final ControlFixture apart = ControlFixture.withTwoEndpoints(ControlFixture.settings(16, 1, true, false));
-        apart.accept("m", SAFE);
-        final long first = apart.lastAttempt("m").endpoint();
-        apart.endAttempt("m", Result.REFUSED, 1500 * MS);
-        assertEquals(2, apart.attemptCount("m"));
-        assertNotEquals(first, apart.lastAttempt("m").endpoint());
+    void retryAfterBlocksOnlyItsRouteIfRoutesAreSeparate() {
+        final ControlFixture separate = ControlFixture.withTwoEndpoints(ControlFixture.settings(16, 1, true, false));
+        separate.accept("m", SAFE);
+        final long first = separate.lastAttempt("m").endpoint();
+        separate.endAttempt("m", Result.REFUSED, 1500 * MS);
+        assertEquals(2, separate.attemptCount("m"));
+        assertNotEquals(first, separate.lastAttempt("m").endpoint());
     }
 
     @Test
-    void aRouteThatIsGoneAndListedAgainStillHasItsWait() {
-        final ControlFixture apart = new ControlFixture(ControlFixture.settings(16, 1, true, false));
-        apart.updateList(ListUpdate.CACHED, ControlFixture.endpoint(1, DEST, "a"));
-        apart.accept("m", SAFE);
-        apart.endAttempt("m", Result.REFUSED, 5 * SECOND);
-        apart.updateList(ListUpdate.FULL);
-        apart.updateList(ListUpdate.FULL, ControlFixture.endpoint(1, DEST, "a"));
-        apart.advance(4900 * MS);
-        assertEquals(1, apart.attemptCount("m"));
-        apart.advance(6 * SECOND);
-        assertEquals(2, apart.attemptCount("m"));
+    void separateRouteListedAgainStillHasItsRetryAfter() {
+        final ControlFixture separate = new ControlFixture(ControlFixture.settings(16, 1, true, false));
+        separate.updateList(ListUpdate.CACHED, ControlFixture.endpoint(1, DEST, "a"));
+        separate.accept("m", SAFE);
+        separate.endAttempt("m", Result.REFUSED, 5 * SECOND);
+        separate.updateList(ListUpdate.FULL);
+        separate.updateList(ListUpdate.FULL, ControlFixture.endpoint(1, DEST, "a"));
+        separate.advance(4900 * MS);
+        assertEquals(1, separate.attemptCount("m"));
+        separate.advance(6 * SECOND);
+        assertEquals(2, separate.attemptCount("m"));
     }
 
     @Test
-    void aKeyThatWasUsedUpStartsAnew() {
-        scene.accept("first", TURN, "k", 16 * SECOND);
-        scene.endAttempt("first", Result.DELIVERED);
-        scene.advance(3 * SECOND);
-        scene.accept("second", TURN, "k", 16 * SECOND);
-        assertEquals(1, scene.attemptCount("second"));
+    void keyWithoutOpenMessagesBlocksNothing() {
+        fixture.accept("first", ORDERED, "k", 16 * SECOND);
+        fixture.endAttempt("first", Result.DELIVERED);
+        fixture.advance(3 * SECOND);
+        fixture.accept("second", ORDERED, "k", 16 * SECOND);
+        assertEquals(1, fixture.attemptCount("second"));
     }
 
     @Test
-    void messagesOfOneKeyGoInTurnAndRestAfterAnOpenAttempt() {
-        scene.accept("first", TURN, "k", 16 * SECOND);
-        scene.accept("second", TURN, "k", 16 * SECOND);
-        assertEquals(0, scene.attemptCount("second"));
-        scene.endAttempt("first", Result.TIMED_OUT);
-        scene.advance(2 * SECOND);
-        assertTrue(scene.attemptCount("first") >= 2, "the one whose turn it is does not rest");
-        assertEquals(0, scene.attemptCount("second"));
-        scene.endAttempt("first", Result.DELIVERED);
-        assertEquals(0, scene.attemptCount("second"), "the key rests for three seconds from the time-out");
-        scene.advance(1100 * MS);
-        assertEquals(1, scene.attemptCount("second"));
+    void messagesOfOneKeyAreSentInOrderAndWaitAfterAnUnansweredAttempt() {
+        fixture.accept("first", ORDERED, "k", 16 * SECOND);
+        fixture.accept("second", ORDERED, "k", 16 * SECOND);
+        assertEquals(0, fixture.attemptCount("second"));
+        fixture.endAttempt("first", Result.TIMED_OUT);
+        fixture.advance(2 * SECOND);
+        assertTrue(fixture.attemptCount("first") >= 2, "the first message of the key is retried without the delay");
+        assertEquals(0, fixture.attemptCount("second"));
+        fixture.endAttempt("first", Result.DELIVERED);
+        assertEquals(0, fixture.attemptCount("second"), "the next message waits for three seconds after the timeout");
+        fixture.advance(1100 * MS);
+        assertEquals(1, fixture.attemptCount("second"));
     }
 
     @Test
-    void deadDestinationGetsSingleTrialsFarApartAndARampAfterItsReturn() {
+    void failedDestinationGetsRareProbesAndAWarmupAfterItsReturn() {
         for (int index = 0; index < 30; index++) {
-            scene.accept("m" + index, SAFE, null, 60 * SECOND);
+            fixture.accept("m" + index, SAFE, null, 60 * SECOND);
         }
         failFor(20);
-        final int before = scene.sent.size();
+        final int before = fixture.sent.size();
         failFor(20);
-        final int trials = scene.sent.size() - before;
-        assertTrue(trials >= 3 && trials <= 12, "trials in 20 s: " + trials);
-        final int returned = scene.sent.size();
+        final int probes = fixture.sent.size() - before;
+        assertTrue(probes >= 3 && probes <= 12, "probes in 20 s: " + probes);
+        final int returned = fixture.sent.size();
         serveFor(2);
-        assertTrue(scene.sent.size() - returned <= 3, "no rush at a cold destination");
+        assertTrue(fixture.sent.size() - returned <= 3, "few calls to a cold destination");
     }
 
     @Test
-    void anUnsafeMessageIsTheLastToBeRiskedOnATrial() {
+    void unsafeMessageIsTheLastToBeUsedForAProbe() {
         for (int index = 0; index < 4; index++) {
-            scene.accept("m" + index, KEYED);
+            fixture.accept("m" + index, KEYED);
         }
         failFor(1);
-        scene.accept("pay", UNSAFE);
-        scene.accept("other", KEYED);
-        final int before = scene.sent.size();
+        fixture.accept("pay", UNSAFE);
+        fixture.accept("other", KEYED);
+        final int before = fixture.sent.size();
         failFor(10);
-        assertTrue(scene.sent.size() > before, "trials were made");
-        assertEquals(0, scene.attemptCount("pay"));
+        assertTrue(fixture.sent.size() > before, "probes were sent");
+        assertEquals(0, fixture.attemptCount("pay"));
     }
 
     @Test
-    void oneSickEndpointIsAvoidedWhileItsDestinationGoesOn() {
+    void failingEndpointIsAvoidedWhileItsDestinationIsServed() {
         for (int round = 0; round < 40; round++) {
-            scene.accept("m" + round, SAFE);
+            fixture.accept("m" + round, SAFE);
             outstanding()
-                    .forEach(id -> scene.endAttempt(
-                            id, scene.lastAttempt(id).endpoint() == 1 ? Result.NO_CONNECTION : Result.DELIVERED));
-            scene.advance(200 * MS);
+                    .forEach(id -> fixture.endAttempt(
+                            id, fixture.lastAttempt(id).endpoint() == 1 ? Result.NO_CONNECTION : Result.DELIVERED));
+            fixture.advance(200 * MS);
         }
         final long sick =
-                scene.sent.stream().filter(sent -> sent.endpoint() == 1).count();
-        assertTrue(sick <= 6, "sends to the sick endpoint: " + sick);
-        assertTrue(scene.sent.size() >= 40);
+                fixture.sent.stream().filter(sent -> sent.endpoint() == 1).count();
+        assertTrue(sick <= 6, "calls to the failing endpoint: " + sick);
+        assertTrue(fixture.sent.size() >= 40);
     }
 
-    /** Incident: hung calls took every slot of couriers with few, and healthy destinations starved. */
+    /** Guards against hung calls that take all slots of a courier with few, so that healthy destinations starve. */
     @Test
-    void aSilentCallIsCalledOffWhenItsSlotIsWanted() {
-        final ControlFixture tight = new ControlFixture(ControlFixture.settings(1, 1, false, false));
-        tight.updateList(ListUpdate.CACHED, ControlFixture.endpoint(1, DEST, "a"), ControlFixture.endpoint(9, 99, "a"));
-        tight.accept("hung", UNSAFE);
-        tight.control.onMessage(
-                tight.nowUs, new Courier.Message("other", SAFE, -1, null, tight.nowUs + 16 * SECOND, 99));
-        tight.advance(5 * SECOND);
-        assertEquals(List.of("hung/0"), tight.cancelled);
-        tight.endAttempt("hung", Result.CANCELLED);
-        assertEquals(List.of("hung"), tight.failed);
-        assertEquals(1, tight.attemptCount("other"));
-    }
-
-    /** Incident: idle connections were dropped on their way, and calls over them went silent everywhere. */
+    void overdueCallIsCancelledWhenItsSlotIsNeeded() {
+        final ControlFixture oneSlot = new ControlFixture(ControlFixture.settings(1, 1, false, false));
+        oneSlot.updateList(
+                ListUpdate.CACHED, ControlFixture.endpoint(1, DEST, "a"), ControlFixture.endpoint(9, 99, "a"));
+        oneSlot.accept("hung", UNSAFE);
+        oneSlot.control.onMessage(
+                oneSlot.nowUs, new Courier.Message("other", SAFE, -1, null, oneSlot.nowUs + 16 * SECOND, 99));
+        oneSlot.advance(5 * SECOND);
+        assertEquals(List.of("hung/0"), oneSlot.cancelled);
+        oneSlot.endAttempt("hung", Result.CANCELLED);
+        assertEquals(List.of("hung"), oneSlot.failed);
+        assertEquals(1, oneSlot.attemptCount("other"));
+    }
+
+    /** Guards against calls that get no answer because the network has dropped idle connections unnoticed. */
     @Test
-    void idleConnectionsAreClosedBeforeUseWhereCallsOverThemGoSilent() {
-        scene.updateList(ListUpdate.FULL, ControlFixture.endpoint(1, DEST, "a"));
+    void idleConnectionsAreClosedBeforeUseAfterCallsOverThemTimedOut() {
+        fixture.updateList(ListUpdate.FULL, ControlFixture.endpoint(1, DEST, "a"));
         for (int round = 0; round < 12; round++) {
-            scene.accept("warm" + round, SAFE);
-            outstanding().forEach(id -> scene.endAttempt(id, Result.DELIVERED));
+            fixture.accept("warm" + round, SAFE);
+            outstanding().forEach(id -> fixture.endAttempt(id, Result.DELIVERED));
         }
-        assertTrue(scene.idleClosed.isEmpty());
+        assertTrue(fixture.idleClosed.isEmpty());
         for (int round = 0; round < 6; round++) {
-            final int closed = scene.idleClosed.size();
-            scene.advance(4 * SECOND);
-            scene.accept("idle" + round, SAFE);
-            final boolean fresh = scene.idleClosed.size() > closed;
-            scene.advance(2 * SECOND);
-            outstanding().forEach(id -> scene.endAttempt(id, fresh ? Result.DELIVERED : Result.TIMED_OUT));
-            scene.advance(1500 * MS);
-            outstanding().forEach(id -> scene.endAttempt(id, Result.DELIVERED));
+            final int closed = fixture.idleClosed.size();
+            fixture.advance(4 * SECOND);
+            fixture.accept("idle" + round, SAFE);
+            final boolean fresh = fixture.idleClosed.size() > closed;
+            fixture.advance(2 * SECOND);
+            outstanding().forEach(id -> fixture.endAttempt(id, fresh ? Result.DELIVERED : Result.TIMED_OUT));
+            fixture.advance(1500 * MS);
+            outstanding().forEach(id -> fixture.endAttempt(id, Result.DELIVERED));
         }
-        assertTrue(scene.idleClosed.size() >= 2, "closed: " + scene.idleClosed);
+        assertTrue(fixture.idleClosed.size() >= 2, "closed: " + fixture.idleClosed);
     }
 
-    /**
-     * Days on fukuoka-main: bursts above the limit that answers report were refused, and the waits told cost more.
-     */
+    /** Guards against bursts above a reported limit: they are refused, and the waits that follow cost more. */
     @Test
-    void callsArePacedAtTheLimitThatAnswersReport() {
-        scene.updateList(ListUpdate.FULL, ControlFixture.endpoint(1, DEST, "a"));
-        scene.accept("first", SAFE);
-        scene.advance(10 * MS);
-        scene.control.onOutcome(
-                scene.nowUs,
+    void callsArePacedAtTheReportedLimit() {
+        fixture.updateList(ListUpdate.FULL, ControlFixture.endpoint(1, DEST, "a"));
+        fixture.accept("first", SAFE);
+        fixture.advance(10 * MS);
+        fixture.control.onOutcome(
+                fixture.nowUs,
                 new Courier.Outcome("first", Result.DELIVERED, true, 1, 10 * MS, 0, new Courier.ReportedLimit(0.9, 4)));
-        scene.advance(SECOND);
-        List.of("a", "b", "c").forEach(id -> scene.accept(id, SAFE));
-        assertEquals(1, scene.attemptCount("a") + scene.attemptCount("b") + scene.attemptCount("c"), "one at once");
-        scene.advance(240 * MS);
+        fixture.advance(SECOND);
+        List.of("a", "b", "c").forEach(id -> fixture.accept(id, SAFE));
         assertEquals(
                 1,
-                scene.attemptCount("a") + scene.attemptCount("b") + scene.attemptCount("c"),
-                "four a second are a quarter apart");
-        scene.advance(20 * MS);
-        assertEquals(2, scene.attemptCount("a") + scene.attemptCount("b") + scene.attemptCount("c"));
+                fixture.attemptCount("a") + fixture.attemptCount("b") + fixture.attemptCount("c"),
+                "one call at a time");
+        fixture.advance(240 * MS);
+        assertEquals(
+                1,
+                fixture.attemptCount("a") + fixture.attemptCount("b") + fixture.attemptCount("c"),
+                "four calls per second are 250 ms apart");
+        fixture.advance(20 * MS);
+        assertEquals(2, fixture.attemptCount("a") + fixture.attemptCount("b") + fixture.attemptCount("c"));
     }
 
     /**
-     * Days at size: every courier paced at the whole limit, and refused calls, which use it up too, kept it used up.
+     * Guards against couriers that each pace their calls at the whole limit: refused calls use up a limit, too, so it
+     * never recovers.
      */
     @Test
-    void aFleetKeepsTogetherUnderALimitOfWhichNothingIsLeft() {
+    void fleetStaysUnderALimitOfWhichNothingIsLeft() {
         final long spent = callsOfFourteen(0, 1, 11);
-        assertTrue(spent <= 160, "over the limit: " + spent);
-        assertTrue(spent >= 0.7 * 160, "unused: " + spent);
-        assertTrue(callsOfFourteen(1, 0, 3) >= 2 * callsOfFourteen(0, 0, 3), "with all left, it is used");
+        assertTrue(spent <= 160, "calls over the limit: " + spent);
+        assertTrue(spent >= 0.7 * 160, "calls, too few for the limit: " + spent);
+        assertTrue(callsOfFourteen(1, 0, 3) >= 2 * callsOfFourteen(0, 0, 3), "more calls if all of the limit is left");
     }
 
-    /** Days at size: half a call a second more for each courier crowded a partner that took less. */
+    /** Guards against overload in large fleets: half a call per second more from each courier is too much. */
     @Test
-    void aFleetDoesNotCrowdAPartnerThatTakesLess() {
+    void fleetDoesNotOverloadADestinationOfLowCapacity() {
         final List<ControlFixture> fleet = IntStream.range(0, 14)
                 .mapToObj(index -> new ControlFixture(ControlFixture.withCourierCount(14), ControlFixture.seed(index)))
                 .toList();
-        fleet.forEach(one -> one.updateList(ListUpdate.FULL, ControlFixture.endpoint(1, DEST, "a")));
+        fleet.forEach(courier -> courier.updateList(ListUpdate.FULL, ControlFixture.endpoint(1, DEST, "a")));
         double room = 0;
         int served = 0;
         int refused = 0;
         for (int tick = 0; tick < 1600; tick++) {
             room = Math.min(2, room + 0.07);
             for (int index = 0; index < 14; index++) {
-                final ControlFixture one = fleet.get(index);
+                final ControlFixture courier = fleet.get(index);
                 if (tick % 100 == 7 * index) {
-                    one.accept("m" + tick, SAFE);
+                    courier.accept("m" + tick, SAFE);
                 }
-                one.advance(10 * MS);
-                for (final ControlFixture.Sent send : List.copyOf(one.sent)) {
-                    if (one.endedAttempts(send.id()) < one.attemptCount(send.id())) {
+                courier.advance(10 * MS);
+                for (final ControlFixture.Sent send : List.copyOf(courier.sent)) {
+                    if (courier.endedAttempts(send.id()) < courier.attemptCount(send.id())) {
                         final boolean taken = room >= 1;
                         room -= taken ? 1 : 0;
-                        one.endAttempt(send.id(), taken ? Result.DELIVERED : Result.REFUSED);
+                        courier.endAttempt(send.id(), taken ? Result.DELIVERED : Result.REFUSED);
                         served += taken ? 1 : 0;
                         refused += taken ? 0 : 1;
                     }
@@ -428,29 +433,33 @@
             }
         }
         assertTrue(refused < 0.8 * served, refused + " refused, " + served + " served");
-        assertTrue(served > 0.7 * 16 * 7, "a partner that is left idle: " + served);
+        assertTrue(served > 0.7 * 16 * 7, "capacity left unused, served: " + served);
     }
 
-    /** Calls between two seconds of couriers with a line each, at a limit of 16 a second; so much is left of it. */
+    /**
+     * Number of calls between two seconds from 14 couriers with a queue each, at a reported limit of 16 per second of
+     * which the share {@code left} remains.
+     */
     private static long callsOfFourteen(final double left, final int fromS, final int toS) {
         long calls = 0;
         for (int index = 0; index < 14; index++) {
-            final ControlFixture one =
+            final ControlFixture courier =
                     new ControlFixture(ControlFixture.withCourierCount(14), ControlFixture.seed(index));
-            one.updateList(ListUpdate.FULL, ControlFixture.endpoint(1, DEST, "a"));
-            final long startUs = one.nowUs;
-            IntStream.range(0, 39).forEach(job -> one.accept("m" + job, SAFE));
+            courier.updateList(ListUpdate.FULL, ControlFixture.endpoint(1, DEST, "a"));
+            final long startUs = courier.nowUs;
+            IntStream.range(0, 39).forEach(message -> courier.accept("m" + message, SAFE));
             for (int tick = 0; tick < 100 * toS; tick++) {
-                one.advance(10 * MS);
-                for (final ControlFixture.Sent send : List.copyOf(one.sent)) {
-                    if (one.endedAttempts(send.id()) == 0) {
-                        one.control.onOutcome(
-                                one.nowUs, one.deliveredWithLimit(send.id(), new Courier.ReportedLimit(left, 16)));
-                        one.control.decide(one.nowUs);
+                courier.advance(10 * MS);
+                for (final ControlFixture.Sent send : List.copyOf(courier.sent)) {
+                    if (courier.endedAttempts(send.id()) == 0) {
+                        courier.control.onOutcome(
+                                courier.nowUs,
+                                courier.deliveredWithLimit(send.id(), new Courier.ReportedLimit(left, 16)));
+                        courier.control.decide(courier.nowUs);
                     }
                 }
             }
-            calls += one.sent.stream()
+            calls += courier.sent.stream()
                     .filter(send -> send.atUs() > startUs + fromS * SECOND)
                     .count();
         }
@@ -458,20 +467,20 @@
     }
 
     /**
-     * Days at size: after refusals above a limit calls were spaced out for long, with nine tenths of it left again.
+     * Guards against calls that stay slow for long after refusals although nine tenths of the limit are left again.
      */
     @Test
-    void aLimitThatHasRoomAgainIsUsedThoughCallsWereRefused() {
-        final ControlFixture one = new ControlFixture(ControlFixture.withCourierCount(14));
-        one.updateList(ListUpdate.FULL, ControlFixture.endpoint(1, DEST, "a"));
-        IntStream.range(0, 30).forEach(job -> one.accept("m" + job, SAFE));
-        one.advance(100 * MS);
+    void limitThatHasCapacityAgainIsUsedSoonAfterRefusals() {
+        final ControlFixture courier = new ControlFixture(ControlFixture.withCourierCount(14));
+        courier.updateList(ListUpdate.FULL, ControlFixture.endpoint(1, DEST, "a"));
+        IntStream.range(0, 30).forEach(message -> courier.accept("m" + message, SAFE));
+        courier.advance(100 * MS);
         final Set<String> ended = new HashSet<>();
-        for (final ControlFixture.Sent send : List.copyOf(one.sent)) {
+        for (final ControlFixture.Sent send : List.copyOf(courier.sent)) {
             final Result result = ended.isEmpty() ? Result.DELIVERED : Result.REFUSED;
             ended.add(send.id());
-            one.control.onOutcome(
-                    one.nowUs,
+            courier.control.onOutcome(
+                    courier.nowUs,
                     new Courier.Outcome(
                             send.id(),
                             result,
@@ -481,27 +490,27 @@
                             0,
                             new Courier.ReportedLimit(0.9, 22)));
         }
-        one.control.decide(one.nowUs);
-        one.advance(SECOND);
+        courier.control.decide(courier.nowUs);
+        courier.advance(SECOND);
         ended.clear();
-        final int before = one.sent.size();
+        final int before = courier.sent.size();
         for (int tick = 0; tick < 400; tick++) {
-            one.advance(10 * MS);
-            for (final ControlFixture.Sent send : List.copyOf(one.sent.subList(4, one.sent.size()))) {
+            courier.advance(10 * MS);
+            for (final ControlFixture.Sent send : List.copyOf(courier.sent.subList(4, courier.sent.size()))) {
                 if (ended.add(send.id())) {
-                    one.control.onOutcome(
-                            one.nowUs, one.deliveredWithLimit(send.id(), new Courier.ReportedLimit(0.9, 22)));
-                    one.control.decide(one.nowUs);
+                    courier.control.onOutcome(
+                            courier.nowUs, courier.deliveredWithLimit(send.id(), new Courier.ReportedLimit(0.9, 22)));
+                    courier.control.decide(courier.nowUs);
                 }
             }
         }
-        assertTrue(one.sent.size() - before > 15, "calls in four seconds: " + (one.sent.size() - before));
+        assertTrue(courier.sent.size() - before > 15, "calls in four seconds: " + (courier.sent.size() - before));
     }
 
-    /** The list says 1 a second; a limit of a millionth would keep the next call off for days. */
+    /** The list says 1 per second; a reported limit of a millionth would delay the next call for days. */
     @Test
-    void aLimitThatCannotBeIsIgnored() {
-        final ControlFixture one = new ControlFixture(new Courier.Settings(
+    void implausibleReportedLimitIsIgnored() {
+        final ControlFixture courier = new ControlFixture(new Courier.Settings(
                 14,
                 "a",
                 false,
@@ -512,23 +521,25 @@
                 ControlFixture.settings().destinationKinds(),
                 ControlFixture.settings().ruleParameters(),
                 ControlFixture.settings().limits()));
-        one.updateList(ListUpdate.FULL, ControlFixture.endpoint(1, DEST, "a"));
+        courier.updateList(ListUpdate.FULL, ControlFixture.endpoint(1, DEST, "a"));
         for (final double limit : List.of(1e-6, -4.0, 30.0, 0.0, Double.NaN)) {
-            one.accept("m" + limit, SAFE);
-            one.advance(2 * SECOND);
-            assertEquals(1, one.attemptCount("m" + limit), "after another limit: " + limit);
-            one.control.onOutcome(
-                    one.nowUs, one.deliveredWithLimit("m" + limit, new Courier.ReportedLimit(0.5, limit)));
-            one.control.decide(one.nowUs);
+            courier.accept("m" + limit, SAFE);
+            courier.advance(2 * SECOND);
+            assertEquals(1, courier.attemptCount("m" + limit), "sent despite the limit reported before: " + limit);
+            courier.control.onOutcome(
+                    courier.nowUs, courier.deliveredWithLimit("m" + limit, new Courier.ReportedLimit(0.5, limit)));
+            courier.control.decide(courier.nowUs);
         }
-        assertTrue(one.control.describe(DEST).contains("limit/s 30.0"), one.control.describe(DEST));
-        one.updateList(ListUpdate.INCREMENTAL, ControlFixture.endpoint(1, DEST, "a"));
-        assertTrue(one.control.describe(DEST).contains("limit/s 30.0"), "what answers report is nearer");
+        assertTrue(courier.control.describe(DEST).contains("limit/s 30.0"), courier.control.describe(DEST));
+        courier.updateList(ListUpdate.INCREMENTAL, ControlFixture.endpoint(1, DEST, "a"));
+        assertTrue(
+                courier.control.describe(DEST).contains("limit/s 30.0"),
+                "the reported limit takes precedence over the list's");
     }
 
-    /** Day 2 of fukuoka-main: one refused call of ten messages made a crowded pub chain count as out for 13 s. */
+    /** One refused call of ten messages must not make an overloaded destination an outage (once for 13 s). */
     @Test
-    void aRefusedCallOfSeveralIsOneRefusalAndNoOutage() {
+    void refusedCallOfSeveralMessagesCountsAsOneRefusalAndNoOutage() {
         final ControlFixture shared = new ControlFixture(ControlFixture.settings(16, 10, false, false));
         shared.updateList(ListUpdate.FULL, ControlFixture.endpoint(1, DEST, "a"));
         final List<String> ids = List.of("a", "b", "c", "d", "e", "f", "g", "h", "i", "j");
@@ -542,12 +553,12 @@
         shared.control.decide(shared.nowUs);
         shared.advance(3 * SECOND);
         together.forEach(
-                id -> assertEquals(2, shared.attemptCount(id), "all go again together, not one as a trial: " + id));
+                id -> assertEquals(2, shared.attemptCount(id), "all are retried together, not one as a probe: " + id));
     }
 
-    /** Day 2 of fukuoka-main: on the ramp calls are what is scarce, and each took a single message. */
+    /** Guards against calls with a single message each during the warmup, when calls are scarce. */
     @Test
-    void callsAreSharedOnTheRampAfterAnOutage() {
+    void messagesShareCallsDuringTheWarmup() {
         final ControlFixture shared = new ControlFixture(ControlFixture.settings(16, 5, false, false));
         shared.updateList(ListUpdate.FULL, ControlFixture.endpoint(1, DEST, "a"));
         shared.accept("down", SAFE);
@@ -565,12 +576,12 @@
         assertEquals(
                 1,
                 ids.stream().map(id -> shared.lastAttempt(id).atUs()).distinct().count(),
-                "one call for all");
+                "one call with all messages");
     }
 
-    /** Day 2 of fukuoka-main: a pub chain of ten messages a call was sent awards one by one, 200 waiting behind. */
+    /** Guards against unsafe messages sent one by one where a call takes ten, with 200 waiting behind them. */
     @Test
-    void messagesThatMayNotBeRepeatedShareACallToo() {
+    void unsafeMessagesShareACallToo() {
         final ControlFixture shared = new ControlFixture(ControlFixture.settings(16, 5, false, false));
         shared.updateList(ListUpdate.FULL, ControlFixture.endpoint(1, DEST, "a"));
         final List<String> ids = List.of("a", "b", "c", "d", "e", "f");
@@ -579,50 +590,50 @@
                 ids.stream().filter(id -> shared.attemptCount(id) > 0).toList();
         final List<String> waiting =
                 ids.stream().filter(id -> shared.attemptCount(id) == 0).toList();
-        assertTrue(waiting.size() >= 2, "the window holds some back: " + waiting);
+        assertTrue(waiting.size() >= 2, "some wait for the window: " + waiting);
         shared.advance(100 * MS);
         shared.endAttempt(out.get(0), Result.DELIVERED);
-        waiting.forEach(id -> assertEquals(1, shared.attemptCount(id), "all that wait go with the next call: " + id));
+        waiting.forEach(id -> assertEquals(1, shared.attemptCount(id), "the next call takes all that wait: " + id));
     }
 
     /**
-     * Days on fukuoka-main: one slow answer over a connection idle for a moment cost a handshake a call ever after.
+     * Guards against a handshake for each call after one slow answer over a connection that was idle for a moment.
      */
     @Test
-    void oneFailureOverAConnectionJustUsedDoesNotMakeAllOthersSuspect() {
-        scene.updateList(ListUpdate.FULL, ControlFixture.endpoint(1, DEST, "a"));
-        scene.accept("warm", SAFE);
-        scene.endAttempt("warm", Result.DELIVERED);
-        scene.advance(20 * MS);
-        scene.accept("lost", SAFE);
-        scene.endAttempt("lost", Result.RESET);
-        scene.advance(2 * SECOND);
-        outstanding().forEach(id -> scene.endAttempt(id, Result.DELIVERED));
+    void failureOverARecentlyUsedConnectionDoesNotCloseIdleOnes() {
+        fixture.updateList(ListUpdate.FULL, ControlFixture.endpoint(1, DEST, "a"));
+        fixture.accept("warm", SAFE);
+        fixture.endAttempt("warm", Result.DELIVERED);
+        fixture.advance(20 * MS);
+        fixture.accept("lost", SAFE);
+        fixture.endAttempt("lost", Result.RESET);
+        fixture.advance(2 * SECOND);
+        outstanding().forEach(id -> fixture.endAttempt(id, Result.DELIVERED));
         for (int round = 0; round < 5; round++) {
-            scene.advance(500 * MS);
-            scene.accept("next" + round, SAFE);
-            scene.endAttempt("next" + round, Result.DELIVERED);
+            fixture.advance(500 * MS);
+            fixture.accept("next" + round, SAFE);
+            fixture.endAttempt("next" + round, Result.DELIVERED);
         }
-        assertEquals(List.of(), scene.idleClosed, "half a second of idleness kills no connection");
+        assertEquals(List.of(), fixture.idleClosed, "half a second of idle time does not make a connection suspect");
     }
 
-    /** Untouched scores at size: idle connections of fifty couriers filled endpoints that take six to sixteen. */
+    /** Guards against idle connections of fifty couriers that fill endpoints with room for six to sixteen. */
     @Test
-    void manyCouriersDoNotKeepIdleConnections() {
+    void largeFleetDoesNotKeepIdleConnections() {
         final ControlFixture many = ControlFixture.withTwoEndpoints(ControlFixture.withCourierCount(50));
         many.accept("m", SAFE);
         many.advance(200 * MS);
         many.endAttempt("m", Result.DELIVERED);
         assertEquals(List.of(many.lastAttempt("m").endpoint()), many.idleClosed);
-        scene.accept("m", SAFE);
-        scene.advance(200 * MS);
-        scene.endAttempt("m", Result.DELIVERED);
-        assertEquals(List.of(), scene.idleClosed, "a small fleet keeps them");
+        fixture.accept("m", SAFE);
+        fixture.advance(200 * MS);
+        fixture.endAttempt("m", Result.DELIVERED);
+        assertEquals(List.of(), fixture.idleClosed, "a small fleet keeps idle connections");
     }
 
-    /** Days at size: fourteen couriers with a call a second each opened a connection for every one of them. */
+    /** Guards against a new connection for each call by fourteen couriers that each make one call per second. */
     @Test
-    void manyCouriersKeepConnectionsThatAreUsedAgainSoonWhileThereIsRoom() {
+    void largeFleetKeepsConnectionsThatAreReusedSoonWhileEndpointsHaveRoom() {
         final ControlFixture many = new ControlFixture(ControlFixture.withCourierCount(14));
         many.updateList(ListUpdate.FULL, ControlFixture.endpoint(1, DEST, "a"));
         callEachSecond(many, "warm", 5);
@@ -633,21 +644,21 @@
         many.endAttempt("full", Result.NO_CONNECTION);
         many.advance(2 * SECOND);
         many.endAttempt("full", Result.DELIVERED);
-        assertEquals(List.of(1L), many.idleClosed, "a well endpoint had no room");
+        assertEquals(List.of(1L), many.idleClosed, "the healthy endpoint had no room for a connection");
     }
 
-    private static void callEachSecond(final ControlFixture scene, final String name, final int calls) {
+    private static void callEachSecond(final ControlFixture fixture, final String name, final int calls) {
         for (int call = 0; call < calls; call++) {
-            scene.accept(name + call, SAFE);
-            scene.advance(100 * MS);
-            scene.endAttempt(name + call, Result.DELIVERED);
-            scene.advance(900 * MS);
+            fixture.accept(name + call, SAFE);
+            fixture.advance(100 * MS);
+            fixture.endAttempt(name + call, Result.DELIVERED);
+            fixture.advance(900 * MS);
         }
     }
 
-    /** Days of slow partners on port-louis-main: calls called off were read as dead idle connections. */
+    /** Guards against cancelled calls to slow destinations that are mistaken for calls over dead idle connections. */
     @Test
-    void aCallThatWeCalledOffDoesNotMakeIdleConnectionsSuspect() {
+    void cancelledCallDoesNotCloseIdleConnections() {
         final ControlFixture two = new ControlFixture(ControlFixture.settings(2, 1, false, false));
         two.updateList(
                 ListUpdate.CACHED,
@@ -662,153 +673,158 @@
         two.acceptFor("slow2", SAFE, DEST + 1);
         two.advance(4 * SECOND);
         two.acceptFor("other", SAFE, DEST + 2);
-        assertEquals(List.of("slow/0"), two.cancelled, "a slot was wanted");
+        assertEquals(List.of("slow/0"), two.cancelled, "the slot was needed");
         two.endAttempt("slow", Result.CANCELLED);
         two.advance(200 * MS);
         two.endAttempt("other", Result.DELIVERED);
         two.advance(3 * SECOND);
         two.acceptFor("again", SAFE, DEST + 2);
         two.advance(10 * MS);
-        assertEquals(List.of(), two.idleClosed, "no idle connection is given up for it");
+        assertEquals(List.of(), two.idleClosed, "no idle connection is closed because of it");
     }
 
-    /** Clumps on the quiet day of sfax-lab-later: a lane met once a minute has had no steps to grow in. */
+    /** Guards against a narrow window for bursts: a route used once a minute has had no steps to widen it. */
     @Test
-    void aRareLaneOfALargeFleetStartsWithAWiderWindow() {
+    void routeOfALargeFleetStartsWithAWiderWindow() {
         final ControlFixture many = ControlFixture.withTwoEndpoints(ControlFixture.withCourierCount(50));
         for (int index = 0; index < 10; index++) {
             many.accept("m" + index, SAFE);
-            scene.accept("m" + index, SAFE);
+            fixture.accept("m" + index, SAFE);
         }
         assertEquals(4, many.sent.size());
-        assertEquals(2, scene.sent.size());
+        assertEquals(2, fixture.sent.size());
     }
 
-    /** Incident i6a814b: trials of hundreds of couriers pushed returning destinations over. */
+    /** Guards against probes of hundreds of couriers that overload a returning destination (incident i6a814b). */
     @Test
-    void theTrialsOfManyCouriersStayUnderTwoThirdsOfThePushOnAReturningDestination() {
+    void probesOfALargeFleetStayUnderTwoThirdsOfTheLoadOnAReturningDestination() {
         final int couriers = 120;
         final double arrivals = 3;
         final List<ControlFixture> fleet = new ArrayList<>();
         for (int index = 0; index < couriers; index++) {
-            final ControlFixture one =
+            final ControlFixture courier =
                     new ControlFixture(ControlFixture.withCourierCount(couriers), ControlFixture.seed(index));
-            one.updateList(
+            courier.updateList(
                     ListUpdate.CACHED, ControlFixture.endpoint(1, DEST, "a"), ControlFixture.endpoint(2, DEST, "b"));
-            one.advance((long) (index / arrivals * SECOND));
-            one.accept("m" + index, SAFE, null, 60 * SECOND);
-            fleet.add(one);
+            courier.advance((long) (index / arrivals * SECOND));
+            courier.accept("m" + index, SAFE, null, 60 * SECOND);
+            fleet.add(courier);
         }
         final long fromUs = 25 * SECOND;
         final long untilUs = 45 * SECOND;
-        int trials = 0;
-        for (final ControlFixture one : fleet) {
-            while (one.nowUs < untilUs) {
-                failOutstanding(one);
-                one.advance(100 * MS);
+        int probes = 0;
+        for (final ControlFixture courier : fleet) {
+            while (courier.nowUs < untilUs) {
+                failOutstanding(courier);
+                courier.advance(100 * MS);
             }
-            final long firstUs = one.sent.get(0).atUs();
-            trials += one.sent.stream()
+            final long firstUs = courier.sent.get(0).atUs();
+            probes += courier.sent.stream()
                     .filter(send ->
                             send.atUs() >= fromUs && send.atUs() < untilUs && send.atUs() > firstUs + 2 * SECOND)
                     .count();
         }
-        // The rule's own bound: two thirds of the push from those who saw the outage, where first calls of the others
-        // bring as much as arrives. (The tipping rate alone would be 24 of the 120: couriers are younger than outages.)
+        // The rule's own bound: two thirds of the load from those who saw the outage, where first calls of the others
+        // bring as much as arrives. (The overload rate alone would be 24 of the 120: couriers are younger than
+        // outages.)
         final double most = 2 * arrivals * (untilUs - fromUs) / SECOND;
-        assertTrue(trials > 0 && trials <= most, trials + " trials, at most " + most);
+        assertTrue(probes > 0 && probes <= most, probes + " probes, at most " + most);
     }
 
-    /** Incident i6a814b: all couriers that were told when a shut destination opens came at that moment. */
+    /**
+     * Guards against couriers that all return at the moment at which a closed destination opens (incident i6a814b).
+     */
     @Test
-    void couriersToldTheSameWaitDoNotComeBackAtTheSameMoment() {
+    void couriersWithTheSameRetryAfterDoNotReturnAtTheSameTime() {
         final List<Long> returns = new ArrayList<>();
         for (int seed = 0; seed < 30; seed++) {
-            final ControlFixture one =
+            final ControlFixture courier =
                     new ControlFixture(ControlFixture.withCourierCount(50), ControlFixture.seed(seed));
-            one.updateList(ListUpdate.CACHED, ControlFixture.endpoint(1, DEST, "a"));
-            one.accept("m", SAFE);
-            one.endAttempt("m", Result.REFUSED, 4 * SECOND);
-            one.advance(3999 * MS);
-            assertEquals(1, one.attemptCount("m"), "the wait is heeded");
-            one.advance(10 * SECOND);
-            if (one.attemptCount("m") > 1) {
-                returns.add(one.lastAttempt("m").atUs());
+            courier.updateList(ListUpdate.CACHED, ControlFixture.endpoint(1, DEST, "a"));
+            courier.accept("m", SAFE);
+            courier.endAttempt("m", Result.REFUSED, 4 * SECOND);
+            courier.advance(3999 * MS);
+            assertEquals(1, courier.attemptCount("m"), "no call before the retry-after ends");
+            courier.advance(10 * SECOND);
+            if (courier.attemptCount("m") > 1) {
+                returns.add(courier.lastAttempt("m").atUs());
             }
         }
-        assertTrue(returns.size() >= 8, "some look soon: " + returns.size());
+        assertTrue(returns.size() >= 8, "couriers that returned soon: " + returns.size());
         final long first = returns.stream().mapToLong(Long::longValue).min().orElseThrow();
         final long together = returns.stream().filter(at -> at < first + SECOND).count();
         assertTrue(together <= returns.size() / 2, together + " of " + returns.size() + " within a second");
     }
 
     @Test
-    void anEndpointThatFailsOneClassKeepsServingTheOthers() {
+    void endpointThatFailsOneClassKeepsServingTheOthers() {
         for (int round = 0; round < 30; round++) {
-            scene.accept("keyed" + round, KEYED);
-            scene.accept("safe" + round, SAFE);
-            scene.advance(300 * MS);
+            fixture.accept("keyed" + round, KEYED);
+            fixture.accept("safe" + round, SAFE);
+            fixture.advance(300 * MS);
             outstanding()
-                    .forEach(id -> scene.endAttempt(
+                    .forEach(id -> fixture.endAttempt(
                             id,
-                            id.startsWith("keyed") && scene.lastAttempt(id).endpoint() == 1
+                            id.startsWith("keyed") && fixture.lastAttempt(id).endpoint() == 1
                                     ? Result.RESET
                                     : Result.DELIVERED));
-            outstanding().forEach(id -> scene.endAttempt(id, Result.DELIVERED));
+            outstanding().forEach(id -> fixture.endAttempt(id, Result.DELIVERED));
         }
-        final long sick = scene.sent.stream()
+        final long sick = fixture.sent.stream()
                 .filter(s -> s.endpoint() == 1 && s.id().startsWith("keyed"))
                 .count();
-        final long well = scene.sent.stream()
+        final long well = fixture.sent.stream()
                 .filter(s -> s.endpoint() == 1 && s.id().startsWith("safe"))
                 .count();
-        assertTrue(sick <= 6, "sparing tries of the failing class: " + sick);
-        assertTrue(well >= 2 * sick, "the other class goes on there: " + well);
+        assertTrue(sick <= 6, "few calls of the failing class: " + sick);
+        assertTrue(well >= 2 * sick, "the other class is still sent there: " + well);
     }
 
-    /** A hung destination returns nothing, and Table I alone would let its window grow. */
+    /** A hung destination gives no outcomes to read, so Table I alone would let its window grow. */
     @Test
-    void aSilentDestinationIsReadAsAnOutage() {
+    void unansweredCallsAreDetectedAsAnOutage() {
         serveFor(1);
         for (int index = 0; index < 20; index++) {
-            scene.accept("m" + index, SAFE, null, 60 * SECOND);
+            fixture.accept("m" + index, SAFE, null, 60 * SECOND);
         }
-        final int before = scene.sent.size();
-        scene.advance(12 * SECOND);
-        assertTrue(scene.sent.size() - before <= 4, "sends into silence: " + (scene.sent.size() - before));
+        final int before = fixture.sent.size();
+        fixture.advance(12 * SECOND);
+        assertTrue(fixture.sent.size() - before <= 4, "calls without an answer: " + (fixture.sent.size() - before));
     }
 
-    /** Couriers share nothing: after refusals, bursts into one counted span are spread out. */
+    /**
+     * Couriers share no state: after refusals, calls are spread out so that they do not burst into one limit span.
+     */
     @Test
-    void sendsAreSpacedAfterAStepWithRefusals() {
+    void sendsArePacedAfterAStepWithRefusals() {
         serveFor(5);
         for (int index = 0; index < 30; index++) {
-            scene.accept("m" + index, SAFE);
+            fixture.accept("m" + index, SAFE);
         }
-        outstanding().forEach(id -> scene.endAttempt(id, Result.REFUSED));
-        scene.advance(2 * SECOND);
-        final int before = scene.sent.size();
+        outstanding().forEach(id -> fixture.endAttempt(id, Result.REFUSED));
+        fixture.advance(2 * SECOND);
+        final int before = fixture.sent.size();
         for (int tenth = 0; tenth < 5; tenth++) {
-            outstanding().forEach(id -> scene.endAttempt(id, Result.DELIVERED));
-            scene.advance(100 * MS);
+            outstanding().forEach(id -> fixture.endAttempt(id, Result.DELIVERED));
+            fixture.advance(100 * MS);
         }
-        final int sent = scene.sent.size() - before;
-        assertTrue(sent <= 8, "no burst: " + sent);
+        final int sent = fixture.sent.size() - before;
+        assertTrue(sent <= 8, "calls in a burst: " + sent);
     }
 
     @Test
-    void aToldLimitBoundsTheRateOfSendsFromTheStart() {
-        final ControlFixture told = ControlFixture.withTwoEndpoints(ControlFixture.withNominalLimit());
-        told.accept("first", SAFE);
-        told.endAttempt("first", Result.DELIVERED);
-        told.accept("second", SAFE);
-        assertEquals(0, told.attemptCount("second"), "one call a second is told");
-        told.advance(1100 * MS);
-        assertEquals(1, told.attemptCount("second"));
+    void nominalLimitPacesCallsFromTheStart() {
+        final ControlFixture nominal = ControlFixture.withTwoEndpoints(ControlFixture.withNominalLimit());
+        nominal.accept("first", SAFE);
+        nominal.endAttempt("first", Result.DELIVERED);
+        nominal.accept("second", SAFE);
+        assertEquals(0, nominal.attemptCount("second"), "the limit is one call per second");
+        nominal.advance(1100 * MS);
+        assertEquals(1, nominal.attemptCount("second"));
     }
 
     @Test
-    void messagesThatWaitTogetherShareACall() {
+    void waitingMessagesShareACall() {
         final ControlFixture shared = new ControlFixture(ControlFixture.settings(16, 5, false, false));
         for (int index = 0; index < 5; index++) {
             shared.accept("m" + index, SAFE);
@@ -818,7 +834,7 @@
     }
 
     @Test
-    void theStoreIsNeverFullAtTheDoor() {
+    void leastValuableMessagesAreRefusedBeforeTheStoreIsFull() {
         final ControlFixture empty = new ControlFixture(ControlFixture.settings());
         for (int index = 0; index < 60; index++) {
             empty.accept("m" + index, index % 2 == 0 ? SAFE : KEYED);
@@ -826,11 +842,11 @@
         }
         assertTrue(
                 empty.refused.stream().allMatch(id -> Integer.parseInt(id.substring(1)) % 2 == 1),
-                "what has least to gain is refused");
+                "the least valuable are refused");
     }
 
     @Test
-    void theListIsFollowedOnceAndAgainWithBackOffAfterALoss() {
+    void listIsRequestedOnceAndAgainWithBackoffAfterALoss() {
         final ControlFixture asking = new ControlFixture(ControlFixture.settings(16, 1, false, true));
         asking.updateList(ListUpdate.CACHED, ControlFixture.endpoint(1, DEST, "a"));
         assertEquals(1, asking.listRequests);
@@ -838,36 +854,36 @@
         asking.advance(30 * SECOND);
         assertEquals(1, asking.listRequests);
         asking.updateList(ListUpdate.UNAVAILABLE);
-        assertEquals(1, asking.listRequests, "not at once");
+        assertEquals(1, asking.listRequests, "no request without backoff");
         asking.advance(2 * SECOND);
         assertEquals(2, asking.listRequests);
     }
 
     @Test
-    void anExpiredMessageAndItsLateOutcomeAreIgnored() {
-        scene.accept("m", SAFE);
-        scene.control.onExpired(scene.nowUs, "m");
-        scene.endAttempt("m", Result.TIMED_OUT);
-        scene.control.onExpired(scene.nowUs, "m");
-        scene.advance(20 * SECOND);
-        assertEquals(1, scene.attemptCount("m"));
-        assertTrue(scene.refused.isEmpty() && scene.failed.isEmpty());
+    void expiredMessageAndItsLateOutcomeAreIgnored() {
+        fixture.accept("m", SAFE);
+        fixture.control.onExpired(fixture.nowUs, "m");
+        fixture.endAttempt("m", Result.TIMED_OUT);
+        fixture.control.onExpired(fixture.nowUs, "m");
+        fixture.advance(20 * SECOND);
+        assertEquals(1, fixture.attemptCount("m"));
+        assertTrue(fixture.refused.isEmpty() && fixture.failed.isEmpty());
     }
 
     @Test
     void theSameEventsGiveTheSameActions() {
         final ControlFixture twin = ControlFixture.withTwoEndpoints(ControlFixture.settings());
-        for (final ControlFixture one : List.of(scene, twin)) {
+        for (final ControlFixture courier : List.of(fixture, twin)) {
             for (int index = 0; index < 10; index++) {
-                one.accept("m" + index, SAFE);
+                courier.accept("m" + index, SAFE);
             }
-            one.advance(5 * SECOND);
+            courier.advance(5 * SECOND);
         }
-        assertEquals(scene.sent, twin.sent);
+        assertEquals(fixture.sent, twin.sent);
     }
 
     private List<String> outstanding() {
-        return outstandingOf(scene);
+        return outstandingOf(fixture);
     }
 
     private final List<ControlFixture.Sent> ended = new ArrayList<>();
@@ -883,73 +899,77 @@
         return open;
     }
 
-    private static void failOutstanding(final ControlFixture one) {
-        one.sent.stream()
+    private static void failOutstanding(final ControlFixture courier) {
+        courier.sent.stream()
                 .map(ControlFixture.Sent::id)
                 .distinct()
-                .filter(id -> one.attemptCount(id) > one.endedAttempts(id))
+                .filter(id -> courier.attemptCount(id) > courier.endedAttempts(id))
                 .toList()
-                .forEach(id -> one.endAttempt(id, Result.NO_CONNECTION));
+                .forEach(id -> courier.endAttempt(id, Result.NO_CONNECTION));
     }
 
     private void failFor(final int seconds) {
         for (int tenth = 0; tenth < 10 * seconds; tenth++) {
-            outstanding().forEach(id -> scene.endAttempt(id, Result.NO_CONNECTION));
-            scene.advance(100 * MS);
+            outstanding().forEach(id -> fixture.endAttempt(id, Result.NO_CONNECTION));
+            fixture.advance(100 * MS);
         }
     }
 
     private void serveFor(final int seconds) {
         for (int tenth = 0; tenth < 10 * seconds; tenth++) {
-            scene.accept("served" + scene.nowUs, SAFE);
-            scene.advance(100 * MS);
-            outstanding().forEach(id -> scene.endAttempt(id, Result.DELIVERED));
+            fixture.accept("served" + fixture.nowUs, SAFE);
+            fixture.advance(100 * MS);
+            outstanding().forEach(id -> fixture.endAttempt(id, Result.DELIVERED));
         }
     }
 
     private static void resume(
-            final ControlFixture scene, final String id, final int kind, final Courier.AttemptHistory past) {
-        scene.control.onMessageResumed(
-                scene.nowUs,
-                new Courier.Message(id, kind, -1, null, scene.nowUs + 16 * ControlFixture.SECOND, ControlFixture.DEST),
-                past);
-        scene.control.decide(scene.nowUs);
+            final ControlFixture fixture,
+            final String id,
+            final int messageClass,
+            final Courier.AttemptHistory history) {
+        fixture.control.onMessageResumed(
+                fixture.nowUs,
+                new Courier.Message(
+                        id, messageClass, -1, null, fixture.nowUs + 16 * ControlFixture.SECOND, ControlFixture.DEST),
+                history);
+        fixture.control.decide(fixture.nowUs);
     }
 
     @Test
-    void aResumedMessageKeepsWhatBecameOfItBefore() {
-        final ControlFixture scene = ControlFixture.withTwoEndpoints(ControlFixture.settings());
-        resume(scene, "safe", 0, new Courier.AttemptHistory(1, true, scene.nowUs - ControlFixture.SECOND, "a"));
-        assertEquals(1, scene.attemptCount("safe"), "a safe one may go again");
-        resume(scene, "spent", 0, new Courier.AttemptHistory(8, true, scene.nowUs - ControlFixture.SECOND, "a"));
-        assertEquals(0, scene.attemptCount("spent"), "its attempts are used up");
+    void resumedMessageKeepsItsAttemptHistory() {
+        final ControlFixture fixture = ControlFixture.withTwoEndpoints(ControlFixture.settings());
+        resume(fixture, "safe", 0, new Courier.AttemptHistory(1, true, fixture.nowUs - ControlFixture.SECOND, "a"));
+        assertEquals(1, fixture.attemptCount("safe"), "a safe message is retried");
+        resume(fixture, "spent", 0, new Courier.AttemptHistory(8, true, fixture.nowUs - ControlFixture.SECOND, "a"));
+        assertEquals(0, fixture.attemptCount("spent"), "no attempt is left");
         resume(
-                scene,
+                fixture,
                 "forgotten",
                 1,
-                new Courier.AttemptHistory(1, true, scene.nowUs - 6 * ControlFixture.SECOND, "a"));
-        assertEquals(0, scene.attemptCount("forgotten"), "its key may be forgotten");
-        resume(scene, "unsafe", 2, new Courier.AttemptHistory(1, true, scene.nowUs - ControlFixture.SECOND, "a"));
-        assertEquals(0, scene.attemptCount("unsafe"), "it may have run");
-        assertEquals(List.of("unsafe"), scene.failed);
-        assertEquals(List.of("spent", "forgotten"), scene.refused);
+                new Courier.AttemptHistory(1, true, fixture.nowUs - 6 * ControlFixture.SECOND, "a"));
+        assertEquals(0, fixture.attemptCount("forgotten"), "its key may have been forgotten");
+        resume(fixture, "unsafe", 2, new Courier.AttemptHistory(1, true, fixture.nowUs - ControlFixture.SECOND, "a"));
+        assertEquals(0, fixture.attemptCount("unsafe"), "it may have taken effect");
+        assertEquals(List.of("unsafe"), fixture.failed);
+        assertEquals(List.of("spent", "forgotten"), fixture.refused);
     }
 
     @Test
-    void nothingIsBegunThatAStopWouldCutOff() {
-        final ControlFixture scene = ControlFixture.withTwoEndpoints(ControlFixture.settings());
-        scene.control.onStopping(scene.nowUs, scene.nowUs + ControlFixture.MS);
-        scene.accept("late", 0);
-        assertEquals(0, scene.attemptCount("late"));
-        assertTrue(scene.refused.isEmpty() && scene.failed.isEmpty(), "the next process goes on with it");
-        scene.control.onStopping(scene.nowUs, scene.nowUs + 10 * ControlFixture.SECOND);
-        scene.advance(ControlFixture.SECOND);
-        assertEquals(1, scene.attemptCount("late"));
+    void noCallStartsThatAStopWouldInterrupt() {
+        final ControlFixture fixture = ControlFixture.withTwoEndpoints(ControlFixture.settings());
+        fixture.control.onStopping(fixture.nowUs, fixture.nowUs + ControlFixture.MS);
+        fixture.accept("late", 0);
+        assertEquals(0, fixture.attemptCount("late"));
+        assertTrue(fixture.refused.isEmpty() && fixture.failed.isEmpty(), "the successor continues with it");
+        fixture.control.onStopping(fixture.nowUs, fixture.nowUs + 10 * ControlFixture.SECOND);
+        fixture.advance(ControlFixture.SECOND);
+        assertEquals(1, fixture.attemptCount("late"));
     }
 
-    // ---------------------------------------------------------------- one process after another
+    // ---------------------------------------------------------------- handover
 
-    /** A scene that goes on where another stands, as one process does after another. */
+    /** A courier with the snapshots of another, as a successor process has. */
     private static ControlFixture after(final ControlFixture before, final Courier.Settings settings) {
         final ControlFixture next = ControlFixture.withTwoEndpoints(settings);
         next.nowUs = before.nowUs;
@@ -960,12 +980,13 @@
     }
 
     private static Courier.Message resumed(
-            final ControlFixture scene, final String id, final int kind, final String key) {
-        return new Courier.Message(id, kind, -1, key, scene.nowUs + 16 * ControlFixture.SECOND, ControlFixture.DEST);
+            final ControlFixture fixture, final String id, final int messageClass, final String key) {
+        return new Courier.Message(
+                id, messageClass, -1, key, fixture.nowUs + 16 * ControlFixture.SECOND, ControlFixture.DEST);
     }
 
     @Test
-    void aWaitHoldsForTheProcessThatTakesOver() {
+    void retryAfterIsHandedOverToTheSuccessor() {
         final ControlFixture old = ControlFixture.withTwoEndpoints(ControlFixture.settings());
         old.accept("m1", 0);
         old.endAttempt("m1", Courier.Result.REFUSED, 2 * ControlFixture.SECOND);
@@ -978,7 +999,7 @@
     }
 
     @Test
-    void anOutageGoesOnForTheProcessThatTakesOver() {
+    void outageIsHandedOverToTheSuccessor() {
         final ControlFixture old = ControlFixture.withTwoEndpoints(ControlFixture.settings());
         for (int count = 0; count < 6; count++) {
             old.accept("m" + count, 2);
@@ -993,129 +1014,130 @@
         for (int count = 0; count < 5; count++) {
             next.accept("n" + count, 0);
         }
-        assertTrue(next.sent.size() <= 1, "trials only: " + next.sent);
+        assertTrue(next.sent.size() <= 1, "probes only: " + next.sent);
     }
 
     @Test
-    void aCallThatIsOutElsewhereHoldsItsSlotAndItsKey() {
-        final ControlFixture scene = ControlFixture.withTwoEndpoints(ControlFixture.settings(1, 1, false, false));
-        scene.control.onMessageResumed(
-                scene.nowUs,
-                resumed(scene, "m1", 3, "k"),
+    void inheritedCallUsesItsSlotAndBlocksItsKey() {
+        final ControlFixture fixture = ControlFixture.withTwoEndpoints(ControlFixture.settings(1, 1, false, false));
+        fixture.control.onMessageResumed(
+                fixture.nowUs,
+                resumed(fixture, "m1", 3, "k"),
                 new Courier.AttemptHistory(
-                        1, false, 0, "", new Courier.InheritedCall(1, scene.nowUs - ControlFixture.MS)));
-        scene.accept("m2", 3, "k", 16 * ControlFixture.SECOND);
-        scene.accept("m3", 0);
-        assertEquals(0, scene.sent.size(), "the only slot is taken");
-        scene.control.onOutcome(
-                scene.nowUs, new Courier.Outcome("m1", Courier.Result.DELIVERED, true, 1, ControlFixture.MS, 0, null));
-        scene.control.decide(scene.nowUs);
-        assertEquals(1, scene.sent.size());
-        assertEquals(0, scene.attemptCount("m1"), "it is not sent again");
+                        1, false, 0, "", new Courier.InheritedCall(1, fixture.nowUs - ControlFixture.MS)));
+        fixture.accept("m2", 3, "k", 16 * ControlFixture.SECOND);
+        fixture.accept("m3", 0);
+        assertEquals(0, fixture.sent.size(), "the only slot is in use");
+        fixture.control.onOutcome(
+                fixture.nowUs,
+                new Courier.Outcome("m1", Courier.Result.DELIVERED, true, 1, ControlFixture.MS, 0, null));
+        fixture.control.decide(fixture.nowUs);
+        assertEquals(1, fixture.sent.size());
+        assertEquals(0, fixture.attemptCount("m1"), "it is not sent a second time");
     }
 
     @Test
-    void anUnsafeMessageThatWasCutOffElsewhereFailsAndASafeOneGoesAgain() {
-        final ControlFixture scene = ControlFixture.withTwoEndpoints(ControlFixture.settings());
+    void interruptedUnsafeMessageFailsAndInterruptedSafeOneIsRetried() {
+        final ControlFixture fixture = ControlFixture.withTwoEndpoints(ControlFixture.settings());
         final Courier.AttemptHistory out = new Courier.AttemptHistory(
-                1, false, 0, "", new Courier.InheritedCall(1, scene.nowUs - ControlFixture.MS));
-        scene.control.onMessageResumed(scene.nowUs, resumed(scene, "safe", 0, null), out);
-        scene.control.onMessageResumed(scene.nowUs, resumed(scene, "unsafe", 2, null), out);
-        scene.control.decide(scene.nowUs);
-        assertEquals(0, scene.sent.size());
-        scene.control.onAttemptInterrupted(scene.nowUs, "safe");
-        scene.control.onAttemptInterrupted(scene.nowUs, "unsafe");
-        scene.control.decide(scene.nowUs);
-        assertEquals(List.of("unsafe"), scene.failed);
-        assertEquals(1, scene.attemptCount("safe"));
-        assertEquals(0, scene.attemptCount("unsafe"));
+                1, false, 0, "", new Courier.InheritedCall(1, fixture.nowUs - ControlFixture.MS));
+        fixture.control.onMessageResumed(fixture.nowUs, resumed(fixture, "safe", 0, null), out);
+        fixture.control.onMessageResumed(fixture.nowUs, resumed(fixture, "unsafe", 2, null), out);
+        fixture.control.decide(fixture.nowUs);
+        assertEquals(0, fixture.sent.size());
+        fixture.control.onAttemptInterrupted(fixture.nowUs, "safe");
+        fixture.control.onAttemptInterrupted(fixture.nowUs, "unsafe");
+        fixture.control.decide(fixture.nowUs);
+        assertEquals(List.of("unsafe"), fixture.failed);
+        assertEquals(1, fixture.attemptCount("safe"));
+        assertEquals(0, fixture.attemptCount("unsafe"));
     }
 
-    // ---------------------------------------------------------------- endpoints taken out by hand
+    // ---------------------------------------------------------------- endpoints disabled by operators
 
     @Test
-    void whatIsTakenOutByHandGetsNothingWhateverTheListSays() {
-        final ControlFixture scene = ControlFixture.withTwoEndpoints(ControlFixture.settings());
-        scene.control.onOverride(scene.nowUs, 1, true, 0);
-        scene.updateList(
+    void disabledEndpointGetsNoCallsWhateverTheListSays() {
+        final ControlFixture fixture = ControlFixture.withTwoEndpoints(ControlFixture.settings());
+        fixture.control.onOverride(fixture.nowUs, 1, true, 0);
+        fixture.updateList(
                 Courier.ListUpdate.FULL,
                 ControlFixture.endpoint(1, ControlFixture.DEST, "a"),
                 ControlFixture.endpoint(2, ControlFixture.DEST, "b"));
         for (int count = 0; count < 6; count++) {
-            scene.accept("m" + count, 0);
-            scene.advance(ControlFixture.SECOND);
-            scene.endAttempt("m" + count, Courier.Result.DELIVERED);
+            fixture.accept("m" + count, 0);
+            fixture.advance(ControlFixture.SECOND);
+            fixture.endAttempt("m" + count, Courier.Result.DELIVERED);
         }
-        assertTrue(scene.sent.stream().allMatch(sent -> sent.endpoint() == 2), scene.sent.toString());
-        assertEquals(1, scene.control.avoidedEndpoints(scene.nowUs));
-        assertTrue(scene.idleClosed.contains(1L), "what is open there ends with its restart");
+        assertTrue(fixture.sent.stream().allMatch(sent -> sent.endpoint() == 2), fixture.sent.toString());
+        assertEquals(1, fixture.control.avoidedEndpoints(fixture.nowUs));
+        assertTrue(fixture.idleClosed.contains(1L), "its connections end with its restart");
     }
 
     @Test
-    void aDestinationWithAllItsEndpointsOutWaitsUntilOneIsPutBack() {
-        final ControlFixture scene = ControlFixture.withTwoEndpoints(ControlFixture.settings());
-        scene.control.onOverride(scene.nowUs, 1, true, 0);
-        scene.control.onOverride(scene.nowUs, 2, true, 0);
-        scene.accept("m", 0);
-        scene.advance(3 * ControlFixture.SECOND);
-        assertEquals(0, scene.sent.size());
-        scene.control.onOverride(scene.nowUs, 2, false, scene.nowUs);
-        scene.advance(ControlFixture.SECOND);
-        assertEquals(2, scene.lastAttempt("m").endpoint());
+    void destinationWithAllEndpointsDisabledWaitsUntilOneIsEnabled() {
+        final ControlFixture fixture = ControlFixture.withTwoEndpoints(ControlFixture.settings());
+        fixture.control.onOverride(fixture.nowUs, 1, true, 0);
+        fixture.control.onOverride(fixture.nowUs, 2, true, 0);
+        fixture.accept("m", 0);
+        fixture.advance(3 * ControlFixture.SECOND);
+        assertEquals(0, fixture.sent.size());
+        fixture.control.onOverride(fixture.nowUs, 2, false, fixture.nowUs);
+        fixture.advance(ControlFixture.SECOND);
+        assertEquals(2, fixture.lastAttempt("m").endpoint());
     }
 
     @Test
-    void whatIsPutBackIsColdAndPacedUntilItIsWarm() {
-        final ControlFixture scene = new ControlFixture(ControlFixture.withNominalLimit());
-        scene.updateList(
+    void enabledEndpointIsPacedUntilItIsWarm() {
+        final ControlFixture fixture = new ControlFixture(ControlFixture.withNominalLimit());
+        fixture.updateList(
                 Courier.ListUpdate.CACHED,
                 new Courier.Endpoint(1, Courier.Condition.LISTED, "a", 20, 0, ControlFixture.DEST));
-        final int usual = sentIn(scene, "usual");
-        scene.control.onOverride(scene.nowUs, 1, true, 0);
-        scene.advance(ControlFixture.SECOND);
-        scene.control.onOverride(scene.nowUs, 1, false, scene.nowUs);
-        final int cold = sentIn(scene, "cold");
-        // The tipping rate of a cold destination in these settings: 2 x 0.2 of its capacity, and chance.
+        final int usual = sentIn(fixture, "usual");
+        fixture.control.onOverride(fixture.nowUs, 1, true, 0);
+        fixture.advance(ControlFixture.SECOND);
+        fixture.control.onOverride(fixture.nowUs, 1, false, fixture.nowUs);
+        final int cold = sentIn(fixture, "cold");
+        // The overload rate of a cold destination in these settings: 2 x 0.2 of its capacity, and a margin for chance.
         assertTrue(cold >= 1 && cold <= 0.7 * usual, cold + " of " + usual);
         for (int count = 0; count < 4; count++) {
-            sentIn(scene, "warming" + count + "-");
+            sentIn(fixture, "warming" + count + "-");
         }
-        final int warm = sentIn(scene, "warm");
+        final int warm = sentIn(fixture, "warm");
         assertTrue(warm > 1.3 * cold, warm + " after " + cold);
     }
 
-    /** How many messages go in two seconds in which more are handed in than may, each answered after 20 ms. */
-    private static int sentIn(final ControlFixture scene, final String name) {
-        final int before = scene.sent.size();
+    /** Number of messages sent in two seconds, in which more are submitted than may be sent; answered after 25 ms. */
+    private static int sentIn(final ControlFixture fixture, final String name) {
+        final int before = fixture.sent.size();
         for (int count = 0; count < 80; count++) {
-            scene.accept(name + count, 0, null, 2 * ControlFixture.SECOND);
-            scene.advance(25 * ControlFixture.MS);
-            scene.sent.stream()
+            fixture.accept(name + count, 0, null, 2 * ControlFixture.SECOND);
+            fixture.advance(25 * ControlFixture.MS);
+            fixture.sent.stream()
                     .map(ControlFixture.Sent::id)
-                    .filter(id -> scene.attemptCount(id) > scene.endedAttempts(id))
+                    .filter(id -> fixture.attemptCount(id) > fixture.endedAttempts(id))
                     .toList()
-                    .forEach(id -> scene.endAttempt(id, Courier.Result.DELIVERED));
+                    .forEach(id -> fixture.endAttempt(id, Courier.Result.DELIVERED));
         }
-        return scene.sent.size() - before;
+        return fixture.sent.size() - before;
     }
 
     @Test
-    void aMessageThatMayBeOlderThanItsHostKnowsIsEndedSoMuchEarlier() {
-        final ControlFixture scene = new ControlFixture(ControlFixture.settings());
-        scene.control.onMessage(
-                scene.nowUs,
+    void messageOfUncertainAgeIsEndedEarlierByTheUncertainty() {
+        final ControlFixture fixture = new ControlFixture(ControlFixture.settings());
+        fixture.control.onMessage(
+                fixture.nowUs,
                 new Courier.Message(
                         "m",
                         0,
                         -1,
                         null,
-                        scene.nowUs + 4 * ControlFixture.SECOND,
+                        fixture.nowUs + 4 * ControlFixture.SECOND,
                         ControlFixture.DEST,
                         ControlFixture.SECOND));
-        scene.control.decide(scene.nowUs);
-        scene.advance(3 * ControlFixture.SECOND - 100 * ControlFixture.MS);
-        assertEquals(List.of(), scene.refused);
-        scene.advance(100 * ControlFixture.MS);
-        assertEquals(List.of("m"), scene.refused);
+        fixture.control.decide(fixture.nowUs);
+        fixture.advance(3 * ControlFixture.SECOND - 100 * ControlFixture.MS);
+        assertEquals(List.of(), fixture.refused);
+        fixture.advance(100 * ControlFixture.MS);
+        assertEquals(List.of("m"), fixture.refused);
     }
 }
--- a/src/test/java/railspar/DeliveryRulesTest.java
+++ b/src/test/java/railspar/DeliveryRulesTest.java
@@ -18,21 +18,21 @@
 import railspar.DeliveryRules.Transmission;
 import railspar.DeliveryRules.Violation;
 
-/** Each decision of {@link DeliveryRules}, with every case on either side of it. */
+/** Each rule of {@link DeliveryRules}, with the cases that it allows and those that it forbids. */
 final class DeliveryRulesTest {
     private static final long WINDOW_US = 1000;
-    private static final long FIRST_RUN_US = 5000;
-    private static final long INSIDE_US = FIRST_RUN_US + WINDOW_US - 1;
-    private static final long BEHIND_US = FIRST_RUN_US + WINDOW_US;
-    private static final AttemptHistory FRESH = new AttemptHistory(0, false, 0, "");
-    private static final AttemptHistory RAN = new AttemptHistory(1, true, FIRST_RUN_US, "a");
+    private static final long FIRST_EFFECT_US = 5000;
+    private static final long INSIDE_WINDOW_US = FIRST_EFFECT_US + WINDOW_US - 1;
+    private static final long AFTER_WINDOW_US = FIRST_EFFECT_US + WINDOW_US;
+    private static final AttemptHistory NO_ATTEMPTS = new AttemptHistory(0, false, 0, "");
+    private static final AttemptHistory MAY_HAVE_TAKEN_EFFECT = new AttemptHistory(1, true, FIRST_EFFECT_US, "a");
 
-    private static MessageClass kind(final Effect effect, final boolean zoneKeyed) {
-        return new MessageClass("kind", effect, zoneKeyed, false, 1, 1, 10_000, 20_000, WINDOW_US);
+    private static MessageClass messageClass(final Effect effect, final boolean dedupPerZone) {
+        return new MessageClass("kind", effect, dedupPerZone, false, 1, 1, 10_000, 20_000, WINDOW_US);
     }
 
-    private static Attempt attempt(final Effect effect, final AttemptHistory past) {
-        return new Attempt(kind(effect, false), true, true, true, past, "a");
+    private static Attempt attempt(final Effect effect, final AttemptHistory history) {
+        return new Attempt(messageClass(effect, false), true, true, true, history, "a");
     }
 
     @ParameterizedTest
@@ -50,7 +50,7 @@
         "SENT,CANCELLED,CANCELLED",
         "SENT,NOT_SENT,RESET"
     })
-    void anAttemptSurelyDidNotRunOnlyIfItsRequestSurelyWasNotSent(
+    void attemptCertainlyHadNoEffectOnlyIfItsRequestWasCertainlyNotSent(
             final Transmission request, final Result reason, final Result result) {
         assertEquals(result, DeliveryRules.resultOf(request, reason));
         assertEquals(request == Transmission.NOT_SENT, result.hadNoEffect());
@@ -58,64 +58,72 @@
 
     @ParameterizedTest
     @EnumSource(Transmission.class)
-    void aMessageIsWithdrawnOnlyIfItsClientSurelyHeardNothing(final Transmission acceptance) {
+    void messageIsWithdrawnOnlyIfItsClientCertainlyGotNoAnswer(final Transmission acceptance) {
         assertEquals(acceptance == Transmission.NOT_SENT, DeliveryRules.mayWithdraw(acceptance));
     }
 
     @Test
-    void onlyWhatDoesNoHarmIsRepeatedOrRefused() {
+    void onlyMessagesWithHarmlessRepeatsAreRepeatedOrRefused() {
         for (final Effect effect : Effect.values()) {
             assertTrue(DeliveryRules.mayRepeat(effect, false, false));
-            assertTrue(DeliveryRules.mayRefuse(kind(effect, true), false));
+            assertTrue(DeliveryRules.mayRefuse(messageClass(effect, true), false));
         }
         assertTrue(DeliveryRules.mayRepeat(Effect.SAFE, true, false));
         assertTrue(DeliveryRules.mayRepeat(Effect.KEYED, true, true));
         assertFalse(DeliveryRules.mayRepeat(Effect.KEYED, true, false));
         assertFalse(DeliveryRules.mayRepeat(Effect.UNSAFE, true, true));
-        assertTrue(DeliveryRules.mayRefuse(kind(Effect.SAFE, false), true));
-        assertTrue(DeliveryRules.mayRefuse(kind(Effect.KEYED, false), true));
-        assertFalse(DeliveryRules.mayRefuse(kind(Effect.KEYED, true), true));
-        assertFalse(DeliveryRules.mayRefuse(kind(Effect.UNSAFE, false), true));
+        assertTrue(DeliveryRules.mayRefuse(messageClass(Effect.SAFE, false), true));
+        assertTrue(DeliveryRules.mayRefuse(messageClass(Effect.KEYED, false), true));
+        assertFalse(DeliveryRules.mayRefuse(messageClass(Effect.KEYED, true), true));
+        assertFalse(DeliveryRules.mayRefuse(messageClass(Effect.UNSAFE, false), true));
     }
 
     @Test
-    void aRepeatIsWrittenOnlyWhereItDoesNoHarm() {
-        assertEquals(Optional.empty(), DeliveryRules.violationOf(attempt(Effect.UNSAFE, FRESH), BEHIND_US));
+    void repeatIsSentOnlyIfItIsHarmless() {
+        assertEquals(Optional.empty(), DeliveryRules.violationOf(attempt(Effect.UNSAFE, NO_ATTEMPTS), AFTER_WINDOW_US));
         assertEquals(
                 Optional.of(Violation.REPEAT_OF_UNSAFE),
-                DeliveryRules.violationOf(attempt(Effect.UNSAFE, RAN), INSIDE_US));
-        assertEquals(Optional.empty(), DeliveryRules.violationOf(attempt(Effect.KEYED, RAN), INSIDE_US));
+                DeliveryRules.violationOf(attempt(Effect.UNSAFE, MAY_HAVE_TAKEN_EFFECT), INSIDE_WINDOW_US));
+        assertEquals(
+                Optional.empty(),
+                DeliveryRules.violationOf(attempt(Effect.KEYED, MAY_HAVE_TAKEN_EFFECT), INSIDE_WINDOW_US));
         assertEquals(
                 Optional.of(Violation.REPEAT_AFTER_KEY_WINDOW),
-                DeliveryRules.violationOf(attempt(Effect.KEYED, RAN), BEHIND_US));
-        assertEquals(Optional.empty(), DeliveryRules.violationOf(attempt(Effect.SAFE, RAN), BEHIND_US));
+                DeliveryRules.violationOf(attempt(Effect.KEYED, MAY_HAVE_TAKEN_EFFECT), AFTER_WINDOW_US));
+        assertEquals(
+                Optional.empty(),
+                DeliveryRules.violationOf(attempt(Effect.SAFE, MAY_HAVE_TAKEN_EFFECT), AFTER_WINDOW_US));
     }
 
     @Test
-    void aRepeatOfAKeyThatOneZoneKnowsIsWrittenInThatZoneOnly() {
-        final MessageClass kind = kind(Effect.KEYED, true);
+    void repeatOfAKeyKnownInOneZoneIsSentInThatZoneOnly() {
+        final MessageClass messageClass = messageClass(Effect.KEYED, true);
         assertEquals(
-                Optional.empty(), DeliveryRules.violationOf(new Attempt(kind, true, true, true, RAN, "a"), INSIDE_US));
+                Optional.empty(),
+                DeliveryRules.violationOf(
+                        new Attempt(messageClass, true, true, true, MAY_HAVE_TAKEN_EFFECT, "a"), INSIDE_WINDOW_US));
         assertEquals(
                 Optional.of(Violation.REPEAT_IN_OTHER_ZONE),
-                DeliveryRules.violationOf(new Attempt(kind, true, true, true, RAN, "b"), INSIDE_US));
+                DeliveryRules.violationOf(
+                        new Attempt(messageClass, true, true, true, MAY_HAVE_TAKEN_EFFECT, "b"), INSIDE_WINDOW_US));
         assertEquals(
                 Optional.empty(),
-                DeliveryRules.violationOf(new Attempt(kind, true, true, true, FRESH, "b"), INSIDE_US));
+                DeliveryRules.violationOf(
+                        new Attempt(messageClass, true, true, true, NO_ATTEMPTS, "b"), INSIDE_WINDOW_US));
     }
 
     @Test
-    void aCallIsWrittenOnlyIfItIsRecordedAndTheOnlyOneAndItsEndpointAvailable() {
-        final MessageClass kind = kind(Effect.SAFE, false);
+    void callIsSentOnlyIfRecordedAndTheOnlyOneAndItsEndpointIsAvailable() {
+        final MessageClass messageClass = messageClass(Effect.SAFE, false);
         assertEquals(
                 Optional.of(Violation.CALL_NOT_RECORDED),
-                DeliveryRules.violationOf(new Attempt(kind, false, true, true, FRESH, "a"), 0));
+                DeliveryRules.violationOf(new Attempt(messageClass, false, true, true, NO_ATTEMPTS, "a"), 0));
         assertEquals(
                 Optional.of(Violation.SECOND_CALL_AT_ONCE),
-                DeliveryRules.violationOf(new Attempt(kind, true, false, true, FRESH, "a"), 0));
+                DeliveryRules.violationOf(new Attempt(messageClass, true, false, true, NO_ATTEMPTS, "a"), 0));
         assertEquals(
                 Optional.of(Violation.CALL_TO_UNAVAILABLE_ENDPOINT),
-                DeliveryRules.violationOf(new Attempt(kind, true, true, false, FRESH, "a"), 0));
+                DeliveryRules.violationOf(new Attempt(messageClass, true, true, false, NO_ATTEMPTS, "a"), 0));
     }
 
     @Test
--- a/src/test/java/railspar/RunLineTest.java
+++ b/src/test/java/railspar/RunLineTest.java
@@ -17,10 +17,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the deploy file's line makes of a configuration: how the shell calls the virtual machine. */
+/** The {@code run} line of the deploy file: with which arguments it starts the Java virtual machine. */
 @Timeout(60)
 final class RunLineTest {
-    private static final long PATIENCE_S = 20;
+    private static final long TIMEOUT_S = 20;
     private static final Path DEPLOY_FILE = Path.of("deploy/balancer.toml");
     private static final List<String> DEFAULTS = List.of("-Xms32m", "-Xmx64m");
     private static final List<String> OF_192_MB = List.of("-Xms32m", "-Xmx100m");
@@ -31,7 +31,7 @@
 
     private Path config;
 
-    /** A stand-in for the virtual machine that tells how it was called. */
+    /** Installs a fake {@code java} that prints its arguments. */
     @BeforeEach
     void build() throws IOException {
         config = folder.resolve("config.json");
@@ -45,11 +45,11 @@
                 .findFirst()
                 .orElseThrow();
         final String run = line.substring("run = \"".length(), line.length() - 1);
-        assertTrue(!run.contains("\\") && !run.contains("\""), "nothing is escaped, so that it reads as it stands");
+        assertTrue(!run.contains("\\") && !run.contains("\""), "the line must need no unescaping");
         return run;
     }
 
-    /** How the line calls the virtual machine, with nothing else in the environment. */
+    /** The arguments of the virtual machine, with only these variables in the environment. */
     private List<String> arguments(final Map<String, String> environment) throws IOException, InterruptedException {
         final Path output = folder.resolve("output");
         final ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", runLine())
@@ -60,7 +60,7 @@
         builder.environment().putAll(environment);
         final Process shell = builder.start();
         try {
-            assertTrue(shell.waitFor(PATIENCE_S, TimeUnit.SECONDS), "the line did not end");
+            assertTrue(shell.waitFor(TIMEOUT_S, TimeUnit.SECONDS), "the run line did not end in time");
             final String text = Files.readString(output, StandardCharsets.UTF_8);
             assertEquals(0, shell.exitValue(), text);
             return text.lines().toList();
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void theHeapFollowsTheLimitOnMemory() throws Exception {
+    void heapSizeFollowsTheMemoryLimit() throws Exception {
         final Map<String, List<String>> expected = new HashMap<>();
         expected.put("32", List.of("-Xms24m", "-Xmx24m"));
         expected.put("96", List.of("-Xms27m", "-Xmx27m"));
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void theFigureIsReadInEachFormThatItMayHave() throws Exception {
+    void memoryLimitIsReadInEachValidForm() throws Exception {
         for (final String form : List.of("\"192\"", "192.0", " 192 ", "\t\"192\"\t", "192.75")) {
             assertEquals(OF_192_MB, heapOf(form), form);
         }
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void withoutAFigureTheSizesAreTheDefaults() throws Exception {
+    void withoutAValidMemoryLimitHeapSizesAreTheDefaults() throws Exception {
         for (final String form : List.of("null", "\"x\"", "\"\"", "-5", "0", "1e3", "0192", "[]", "{}", "99999999")) {
             assertEquals(DEFAULTS, heapOf(form), form);
         }
@@ -127,10 +127,10 @@
     }
 
     @Test
-    void theVirtualMachineEndsWhereMemoryRunsOut() throws Exception {
+    void virtualMachineExitsWhenMemoryRunsOut() throws Exception {
         final List<String> arguments = arguments(Map.of());
         assertTrue(arguments.contains("-XX:+ExitOnOutOfMemoryError"), "" + arguments);
-        assertTrue(arguments.contains("-Xmn10m"), "the young generation does not grow with the heap: " + arguments);
+        assertTrue(arguments.contains("-Xmn10m"), "the size of the young generation must be fixed: " + arguments);
         assertEquals("railspar.node.Main", arguments.get(arguments.size() - 1));
     }
 }
