--- a/src/main/java/railspar/Control.java
+++ b/src/main/java/railspar/Control.java
@@ -509,7 +509,7 @@
         return Math.max(phaseUs, Math.max(route.retryAfterUntilUs, route.backoffUntilUs));
     }
 
-    /** This courier's rate within a limit. Refused calls use it up, too: below its even part, it recovers. */
+    /** This courier's part of a limit: under the even part, so that a limit used up by refusals recovers. */
     private double limitPart(final Route route) {
         final double refill = REFILL_PER_S / settings.fleetSize() * (nowUs - route.reportedUs) / SECOND_US;
         final double more =
@@ -997,7 +997,7 @@
             return remainingUs;
         }
         if (delivery.messageClass.effect() == Effect.KEYED && !delivery.mayHaveTakenEffect) {
-            // Leaves time for a retry inside the window; too short for both, it is left to one call.
+            // Leaves time for a retry in the window; if that is too short for both, one call may use it.
             final double windowUs = (1 - KEY_WINDOW_MARGIN_SHARE) * delivery.messageClass.dedupWindowUs();
             final double firstUs = windowUs - Math.min(RETRY_RESERVE_US, windowUs / 2);
             timeoutUs = firstUs < STOP_FACTOR * expectedUs ? timeoutUs : Math.min(timeoutUs, firstUs);
