--- a/src/main/java/railspar/node/CallCodec.java
+++ b/src/main/java/railspar/node/CallCodec.java
@@ -21,20 +21,20 @@
 import railspar.Courier.Result;
 import railspar.node.EndpointClient.AttemptOutcome;
 
-/** The requests of calls to endpoints and the meaning of their answers, as the protocol page gives both. */
+/** Encodes the requests of calls to endpoints and decodes the responses. */
 final class CallCodec {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final double US_PER_SECOND = 1_000_000;
-    private static final String REPORT = "X-Server-Load";
+    private static final String LOAD_REPORT_HEADER = "X-Server-Load";
     private static final int OK = 200;
     private static final int GONE = 410;
-    private static final int BUSY = 429;
-    private static final int UNAVAILABLE = 503;
-    private static final int NO_MORE = 504;
+    private static final int TOO_MANY_REQUESTS = 429;
+    private static final int SERVICE_UNAVAILABLE = 503;
+    private static final int GATEWAY_TIMEOUT = 504;
 
     private CallCodec() {}
 
-    /** A call with one message. */
+    /** The request of a call with one message. */
     static FullHttpRequest singleRequest(final AcceptedMessage message, final String host, final long timeoutMs) {
         final FullHttpRequest request = request("/inbox", message.body, host, timeoutMs);
         request.headers().set("X-Request-ID", message.id);
@@ -44,9 +44,9 @@
         return request;
     }
 
-    /** A call with several messages. */
+    /** The request of a call with several messages. */
     static FullHttpRequest bulkRequest(final List<AcceptedMessage> messages, final String host, final long timeoutMs) {
-        final FullHttpRequest request = request("/inbox/bulk", array(messages), host, timeoutMs);
+        final FullHttpRequest request = request("/inbox/bulk", encodeMessages(messages), host, timeoutMs);
         request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
         return request;
     }
@@ -62,7 +62,7 @@
         return request;
     }
 
-    private static byte[] array(final List<AcceptedMessage> messages) {
+    private static byte[] encodeMessages(final List<AcceptedMessage> messages) {
         final ArrayNode items = JSON.createArrayNode();
         for (final AcceptedMessage message : messages) {
             final ObjectNode item = items.addObject().put("id", message.id);
@@ -78,33 +78,37 @@
         }
     }
 
-    /** What an answer says of a call, of one message or of all of several. */
-    static AttemptOutcome outcomeOf(final HttpResponse head, final long waitUs) {
-        final Courier.ReportedLimit allowance = allowance(loadReport(head));
+    /** The outcome that a response gives for a call, whether of one message or of several. */
+    static AttemptOutcome outcomeOf(final HttpResponse head, final long retryAfterUs) {
+        final Courier.ReportedLimit limit = parseLimit(loadReport(head));
         final boolean lineBusy = "1".equals(head.headers().get("X-Line-Busy"));
         return switch (head.status().code()) {
-            case OK -> new AttemptOutcome(Result.DELIVERED, true, waitUs, allowance);
-            case BUSY -> new AttemptOutcome(Result.REFUSED, false, waitUs, allowance);
-            case UNAVAILABLE ->
-                new AttemptOutcome(lineBusy ? Result.NOT_SENT : Result.REFUSED, false, waitUs, allowance);
-            case NO_MORE -> new AttemptOutcome(Result.NOT_SENT, false, waitUs, allowance);
-            case GONE -> new AttemptOutcome(Result.NOT_SENT, true, waitUs, allowance);
-            default -> new AttemptOutcome(Result.ERROR, false, waitUs, allowance);
+            case OK -> new AttemptOutcome(Result.DELIVERED, true, retryAfterUs, limit);
+            case TOO_MANY_REQUESTS -> new AttemptOutcome(Result.REFUSED, false, retryAfterUs, limit);
+            case SERVICE_UNAVAILABLE ->
+                new AttemptOutcome(lineBusy ? Result.NOT_SENT : Result.REFUSED, false, retryAfterUs, limit);
+            case GATEWAY_TIMEOUT -> new AttemptOutcome(Result.NOT_SENT, false, retryAfterUs, limit);
+            case GONE -> new AttemptOutcome(Result.NOT_SENT, true, retryAfterUs, limit);
+            default -> new AttemptOutcome(Result.ERROR, false, retryAfterUs, limit);
         };
     }
 
-    /** What an answer says of one of several messages; {@code state} is empty for one that it does not name. */
-    static AttemptOutcome outcomeOfMessage(final String state, final AttemptOutcome all) {
+    /** The outcome of one message of a bulk call; {@code state} is empty if the response does not name the message. */
+    static AttemptOutcome outcomeOfMessage(final String state, final AttemptOutcome callOutcome) {
         return switch (state) {
-            case "accepted" -> new AttemptOutcome(Result.DELIVERED, true, all.retryAfterUs(), all.reportedLimit());
-            case "deferred" -> new AttemptOutcome(Result.REFUSED, false, all.retryAfterUs(), all.reportedLimit());
-            case "expired" -> new AttemptOutcome(Result.NOT_SENT, true, all.retryAfterUs(), all.reportedLimit());
-            case "no_more" -> new AttemptOutcome(Result.NOT_SENT, false, all.retryAfterUs(), all.reportedLimit());
-            default -> new AttemptOutcome(Result.ERROR, false, all.retryAfterUs(), all.reportedLimit());
+            case "accepted" ->
+                new AttemptOutcome(Result.DELIVERED, true, callOutcome.retryAfterUs(), callOutcome.reportedLimit());
+            case "deferred" ->
+                new AttemptOutcome(Result.REFUSED, false, callOutcome.retryAfterUs(), callOutcome.reportedLimit());
+            case "expired" ->
+                new AttemptOutcome(Result.NOT_SENT, true, callOutcome.retryAfterUs(), callOutcome.reportedLimit());
+            case "no_more" ->
+                new AttemptOutcome(Result.NOT_SENT, false, callOutcome.retryAfterUs(), callOutcome.reportedLimit());
+            default -> new AttemptOutcome(Result.ERROR, false, callOutcome.retryAfterUs(), callOutcome.reportedLimit());
         };
     }
 
-    /** The states of several messages by their ids; what cannot be read names none. */
+    /** The states in a bulk response by message id; entries after a parse error are missing. */
     static Map<String, String> parseStates(final byte[] body) {
         final Map<String, String> states = new HashMap<>();
         try {
@@ -112,12 +116,12 @@
                 states.put(item.path("id").asText(), item.path("state").asText());
             }
         } catch (final IOException e) {
-            Log.info("an endpoint's answer to several messages cannot be read: " + e.getMessage());
+            Log.info("cannot parse an endpoint's response to a bulk call: " + e.getMessage());
         }
         return states;
     }
 
-    /** The wait that an answer tells: seconds, with decimals. One that cannot be read is none. */
+    /** The wait in the Retry-After header, in seconds with decimals; 0 if it is absent or malformed. */
     static long retryAfterUs(final HttpResponse head) {
         final String text = head.headers().get(HttpHeaderNames.RETRY_AFTER);
         try {
@@ -127,18 +131,18 @@
         }
     }
 
-    /** The text in which a destination reports its limit, or null. */
+    /** The header in which a destination reports its limit, or null. */
     static String loadReport(final HttpResponse head) {
-        return head.headers().get(REPORT);
+        return head.headers().get(LOAD_REPORT_HEADER);
     }
 
-    /** True where there is a report that says nothing of a limit. */
+    /** True if there is a report that contains no usable limit. */
     static boolean hasUnreadableLimitReport(final HttpResponse head) {
-        return loadReport(head) != null && allowance(loadReport(head)) == null;
+        return loadReport(head) != null && parseLimit(loadReport(head)) == null;
     }
 
-    /** What a destination told of its limit; null if it told nothing, or nothing that can be read. */
-    private static Courier.ReportedLimit allowance(final String report) {
+    /** The limit that a destination reports; null if the report is absent or unusable. */
+    private static Courier.ReportedLimit parseLimit(final String report) {
         if (report == null) {
             return null;
         }
@@ -156,7 +160,7 @@
         } catch (final NumberFormatException e) {
             return null;
         }
-        final boolean whole = Double.isFinite(shareLeft) && Double.isFinite(callsPerSecond) && callsPerSecond >= 0;
-        return whole ? new Courier.ReportedLimit(shareLeft, callsPerSecond) : null;
+        final boolean usable = Double.isFinite(shareLeft) && Double.isFinite(callsPerSecond) && callsPerSecond >= 0;
+        return usable ? new Courier.ReportedLimit(shareLeft, callsPerSecond) : null;
     }
 }
--- a/src/main/java/railspar/node/Clock.java
+++ b/src/main/java/railspar/node/Clock.java
@@ -3,12 +3,12 @@
 import java.util.function.LongSupplier;
 
 /**
- * The clocks of a courier, in microseconds. Everything runs on the monotonic clock of the machine, which no one sets.
+ * The clocks of a courier, in microseconds. All times are based on the machine's monotonic clock, which is never set.
  *
- * <p>Files that outlast the process hold <em>persistent time</em>: the monotonic clock plus an offset that all
- * processes on one state folder share while the machine is up, see {@link ClockFile}. It looks like Unix time and
- * differs from it by as much as the wall clock has been stepped since the folder was first used, so a deadline in a
- * file remains a span of real time.
+ * <p>Files that outlast the process contain <em>persistent time</em>: the monotonic clock plus an offset that all
+ * processes on one state folder share while the machine is up; see {@link ClockFile}. It looks like Unix time, and
+ * differs from it by the steps of the wall clock since the folder was first used. A deadline in a file therefore stays
+ * correct when the wall clock is stepped.
  */
 final class Clock {
     private static final long NS_PER_US = 1000;
@@ -16,17 +16,17 @@
 
     private final LongSupplier monotonicNs;
     private final LongSupplier wallMs;
-    /** Far from zero, so that "never yet" (zero) lies long ago for the decisions. */
+    /** Far from zero, so that the decisions see a time of zero ("never") as long ago. */
     private final long originUs;
 
     private long offsetUs;
 
-    /** The clocks of the machine; persistent time equals Unix time now. */
+    /** Uses the machine's clocks; persistent time initially equals Unix time. */
     Clock() {
         this(System::nanoTime, System::currentTimeMillis);
     }
 
-    /** Other clocks. */
+    /** Uses the given clocks. */
     Clock(final LongSupplier monotonicNs, final LongSupplier wallMs) {
         this.monotonicNs = monotonicNs;
         this.wallMs = wallMs;
@@ -34,32 +34,32 @@
         this.originUs = offsetUs;
     }
 
-    /** Now, on the clock that never moves back. */
+    /** The current time on the clock that never moves back. */
     long nowUs() {
         return originUs + monotonicUs();
     }
 
-    /** Now, in persistent time. */
+    /** The current persistent time. */
     long persistentUs() {
         return offsetUs + monotonicUs();
     }
 
-    /** A moment of persistent time on the clock of {@link #nowUs}. */
+    /** Converts persistent time to the clock of {@link #nowUs}. */
     long fromPersistentUs(final long persistentUs) {
         return persistentUs - offsetUs + originUs;
     }
 
-    /** A moment of the clock of {@link #nowUs} in persistent time. */
+    /** Converts a time on the clock of {@link #nowUs} to persistent time. */
     long toPersistentUs(final long us) {
         return us - originUs + offsetUs;
     }
 
-    /** Persistent time is the monotonic clock plus this from now on. */
+    /** Sets the offset of persistent time from the monotonic clock. */
     void setPersistentOffsetUs(final long us) {
         offsetUs = us;
     }
 
-    /** What the wall clock is ahead of the monotonic one now. */
+    /** How far the wall clock is ahead of the monotonic clock now. */
     long wallOffsetUs() {
         return wallMs.getAsLong() * US_PER_MS - monotonicUs();
     }
--- a/src/main/java/railspar/node/EndpointClient.java
+++ b/src/main/java/railspar/node/EndpointClient.java
@@ -38,58 +38,59 @@
 import railspar.DeliveryRules.Transmission;
 
 /**
- * Calls to endpoints, with one message or several, over connections that are kept and carry one call at a time. It
- * tells the {@link MessageService} how each message fared, above all whether it can have run: that turns on whether
- * the call's last byte may have left before the connection broke, as {@link DeliveryRules} decide.
+ * Makes calls to endpoints, with one message or several, over persistent connections that carry one call at a time. It
+ * reports the outcome of each message to the {@link MessageService}, above all whether the message may have taken
+ * effect. That depends on whether the request's last byte may have been sent before the connection broke; see
+ * {@link DeliveryRules}.
  */
 final class EndpointClient {
     private static final long US_PER_MS = 1000;
-    private static final int MOST_BODY_BYTES = 1 << 16;
-    /** Share of the endpoints' own limit after which an idle connection is closed: a request may not cross it. */
-    private static final double IDLE_SHARE = 0.8;
-    /** Share of the descriptors for connections to endpoints; the rest is for clients and the process. */
+    private static final int MAX_BODY_BYTES = 1 << 16;
+    /** Idle connections are closed at this share of the endpoints' idle timeout, so that no request crosses a close. */
+    private static final double IDLE_TIMEOUT_SHARE = 0.8;
+    /** Share of the file descriptors for connections to endpoints; the rest is for clients and the process. */
     private static final double SOCKET_SHARE = 0.3;
-    /** How long the body of a 200, which means nothing, is waited for: the next of its key waits too. */
-    private static final long BODY_MS = 200;
-    /** How long an answer that was on its way when its call was given up is listened for: a round trip, and more. */
-    private static final long LATE_MS = 300;
+    /** How long to wait for the body of a 200, which has no meaning: the next message of its ordering key waits too. */
+    private static final long DELIVERED_BODY_TIMEOUT_MS = 200;
+    /** How long an abandoned call's connection stays readable for a late response: more than a round trip. */
+    private static final long LATE_RESPONSE_TIMEOUT_MS = 300;
 
-    private static final Pattern FIRST_LINE = Pattern.compile("HTTP/1\\.[01] 200(?!\\d)");
-    private static final int MOST_LINE_CHARS = 64;
+    private static final Pattern OK_STATUS_LINE = Pattern.compile("HTTP/1\\.[01] 200(?!\\d)");
+    private static final int MAX_STATUS_LINE_CHARS = 64;
     private static final int OK = 200;
-    private static final int INFORMATIONAL = 200;
+    private static final int FIRST_FINAL_STATUS = 200;
 
     private final Clock clock;
-    private final StallDetector stalls;
+    private final StallDetector stallDetector;
     private final EventLoop loop;
-    private final MessageService host;
+    private final MessageService messageService;
     private final Bootstrap bootstrap;
-    private final long idleUs;
-    private final int mostConnections;
+    private final long maxIdleUs;
+    private final int maxConnections;
     private final Map<Long, Pool> pools = new HashMap<>();
     private final Set<Call> calls = new HashSet<>();
     private int connections;
-    private long opened;
-    private boolean winding;
+    private long connectionsOpened;
+    private boolean draining;
 
-    /** Where an endpoint is called, for which destination, and whether that one's routes are apart. */
+    /** An endpoint's address and destination, and whether the destination has a separate route to each endpoint. */
     record Target(long destination, boolean separateRoutes, InetSocketAddress address) {}
 
-    /** How a message fared in a call. {@code retryAfterUs}: what the answer told to wait, or 0. */
+    /** The outcome of a message's attempt. {@code retryAfterUs} is the wait that the response asks for, or 0. */
     record AttemptOutcome(Result result, boolean isFinal, long retryAfterUs, Courier.ReportedLimit reportedLimit) {}
 
     EndpointClient(
             final Config config,
             final EventLoop loop,
             final Clock clock,
-            final StallDetector stalls,
-            final MessageService host) {
+            final StallDetector stallDetector,
+            final MessageService messageService) {
         this.clock = clock;
-        this.stalls = stalls;
+        this.stallDetector = stallDetector;
         this.loop = loop;
-        this.host = host;
-        this.idleUs = (long) (IDLE_SHARE * config.settings().limits().idleTimeoutUs());
-        this.mostConnections = (int) Math.max(1, SOCKET_SHARE * config.sockets());
+        this.messageService = messageService;
+        this.maxIdleUs = (long) (IDLE_TIMEOUT_SHARE * config.settings().limits().idleTimeoutUs());
+        this.maxConnections = (int) Math.max(1, SOCKET_SHARE * config.sockets());
         this.bootstrap = new Bootstrap()
                 .group(loop)
                 .channelFactory(TrackedSocketChannel::new)
@@ -97,18 +98,19 @@
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(final Channel channel) {
-                        final Reader reader = new Reader();
-                        channel.pipeline().addLast(new FirstLine(reader), new HttpClientCodec(), reader);
+                        final EndpointConnection connection = new EndpointConnection();
+                        channel.pipeline().addLast(new StatusLineReader(connection), new HttpClientCodec(), connection);
                     }
                 });
-        final long sweepUs = Math.max(US_PER_MS, idleUs / 8);
-        loop.scheduleWithFixedDelay(this::closeOld, sweepUs, sweepUs, TimeUnit.MICROSECONDS);
+        final long sweepIntervalUs = Math.max(US_PER_MS, maxIdleUs / 8);
+        loop.scheduleWithFixedDelay(
+                this::closeExpiredIdleConnections, sweepIntervalUs, sweepIntervalUs, TimeUnit.MICROSECONDS);
     }
 
-    /** The connections, for the log: each one that is opened costs the endpoint work. */
+    /** Describes the connections for the log; each one that is opened costs the endpoint work. */
     String describe() {
         return "connections " + connections + " ("
-                + pools.values().stream().mapToInt(pool -> pool.idle.size()).sum() + " idle, " + opened
+                + pools.values().stream().mapToInt(pool -> pool.idle.size()).sum() + " idle, " + connectionsOpened
                 + " opened so far)";
     }
 
@@ -118,58 +120,59 @@
     private static final class Pool {
         private final long endpoint;
         private final long destination;
-        private final boolean apart;
+        private final boolean separateRoutes;
         private InetSocketAddress address;
-        /** Idle ones, the one used last at the end. */
-        private final Deque<Reader> idle = new ArrayDeque<>();
+        /** Idle connections, the most recently used one last. */
+        private final Deque<EndpointConnection> idle = new ArrayDeque<>();
 
         private boolean removed;
-        private boolean misreports;
+        private boolean unusableLimitLogged;
 
         Pool(final long endpoint, final Target target) {
             this.endpoint = endpoint;
             this.destination = target.destination();
-            this.apart = target.separateRoutes();
+            this.separateRoutes = target.separateRoutes();
             this.address = target.address();
         }
     }
 
-    /** One call: the messages in it, and how far it has come. */
+    /** A call: its messages and its progress. */
     static final class Call {
         private final Pool pool;
         private final long endpoint;
         private final long sentUs;
         private final long deadlineUs;
-        private final long writeByUs;
-        private final List<MessageService.CallItem> parcels;
-        /** Messages that have had their end while the call goes on: to their endpoint they are still out. */
-        private final List<MessageService.CallItem> left = new ArrayList<>();
-        /** Sent as several: so is its answer, also when the time of some is up before it comes. */
-        private final boolean many;
+        private final long writeDeadlineUs;
+        private final List<MessageService.CallItem> items;
+        /** Messages that expired while the call continues: the endpoint may still be processing them. */
+        private final List<MessageService.CallItem> expiredItems = new ArrayList<>();
+        /** Sent as a bulk call, so that its response is one too, even if some of the messages expire before it. */
+        private final boolean bulk;
 
         private TrackedSocketChannel channel;
         private boolean started;
-        /** Its request has been given to the connection, before which so many writes had been tried there. */
-        private boolean handedOver;
+        /** The request has been passed to the connection. */
+        private boolean queued;
 
-        private long writesBefore;
-        /** The socket has taken all of its request. */
+        /** The writes tried on the connection before the request was passed to it. */
+        private long writeCountAtQueueing;
+        /** The whole request has been written to the socket. */
         private boolean written;
-        /** Its first line says 200, which is true whatever becomes of the rest. */
+        /** The status line says 200, which holds even if the rest of the response never arrives. */
         private boolean delivered;
 
-        Call(final Pool pool, final long endpoint, final List<MessageService.CallItem> parcels, final long sentUs) {
+        Call(final Pool pool, final long endpoint, final List<MessageService.CallItem> items, final long sentUs) {
             this.pool = pool;
             this.endpoint = endpoint;
-            this.parcels = new ArrayList<>(parcels);
-            this.many = parcels.size() > 1;
+            this.items = new ArrayList<>(items);
+            this.bulk = items.size() > 1;
             this.sentUs = sentUs;
-            this.writeByUs = parcels.stream()
+            this.writeDeadlineUs = items.stream()
                     .mapToLong(MessageService.CallItem::writeDeadlineUs)
                     .min()
                     .orElse(AcceptedMessage.NEVER);
             this.deadlineUs = sentUs
-                    + parcels.stream()
+                    + items.stream()
                             .mapToLong(MessageService.CallItem::timeoutUs)
                             .max()
                             .orElse(0);
@@ -179,16 +182,16 @@
             return endpoint;
         }
 
-        /** What is known of its request. */
+        /** Whether the request was sent, as far as that is known. */
         private Transmission transmission() {
             if (written) {
                 return Transmission.SENT;
             }
-            return handedOver ? channel.transmissionOfUnfinished(writesBefore) : Transmission.NOT_SENT;
+            return queued ? channel.transmissionOfUnfinished(writeCountAtQueueing) : Transmission.NOT_SENT;
         }
 
         private List<String> ids() {
-            return parcels.stream().map(parcel -> parcel.message().accepted.id).toList();
+            return items.stream().map(item -> item.message().accepted.id).toList();
         }
 
         long sentUs() {
@@ -196,108 +199,108 @@
         }
     }
 
-    /** The list's word on an endpoint has changed, or its address: that matters to one that has been called. */
+    /** Handles a changed list entry; it matters only if the endpoint has been called. */
     void endpointChanged(final Courier.Endpoint entry) {
         final Pool pool = pools.get(entry.id());
         if (pool == null) {
             return;
         }
-        final InetSocketAddress address = host.target(entry.id()).address();
+        final InetSocketAddress address = messageService.target(entry.id()).address();
         if (!pool.address.equals(address)) {
             pool.address = address;
             closeIdleConnections(entry.id());
         }
         if (entry.condition() != Courier.Condition.LISTED) {
-            holdBack(call -> call.pool == pool);
+            abandonUnwritten(call -> call.pool == pool);
         }
     }
 
-    /** The list names an endpoint no more: its idle connections serve nothing. */
+    /** Handles the removal of an endpoint from the list: its idle connections are of no more use. */
     void endpointRemoved(final long endpoint) {
         closeIdleConnections(endpoint);
         final Pool pool = pools.remove(endpoint);
         if (pool != null) {
             pool.removed = true;
-            holdBack(call -> call.pool == pool);
+            abandonUnwritten(call -> call.pool == pool);
         }
     }
 
-    /** Endpoints that have been called and are still listed. */
+    /** Number of endpoints that have been called and are still listed. */
     int calledEndpoints() {
         return pools.size();
     }
 
-    /** Taken out by hand: what is not written yet is not sent. */
+    /** Cancels the calls to an endpoint that are not written yet. */
     void cancelUnsentCalls(final long endpoint) {
-        holdBack(call -> call.endpoint == endpoint);
+        abandonUnwritten(call -> call.endpoint == endpoint);
     }
 
     void closeIdleConnections(final long endpoint) {
         final Pool pool = pools.get(endpoint);
         if (pool != null) {
-            List.copyOf(pool.idle).forEach(Reader::close);
+            List.copyOf(pool.idle).forEach(EndpointConnection::close);
         }
     }
 
-    /** Nothing is begun any more: connections end with their calls. */
+    /** Stops keeping connections: no call is started any more, and each connection is closed after its call. */
     void stopNewCalls() {
-        winding = true;
+        draining = true;
         List.copyOf(pools.keySet()).forEach(this::closeIdleConnections);
     }
 
-    /** True when no call is out. */
+    /** True when no call is in flight. */
     boolean hasNoCalls() {
         return calls.isEmpty();
     }
 
-    /** Closes connections before the endpoint does: a request that crosses its close may have run, or not. */
-    private void closeOld() {
-        final long beforeUs = clock.nowUs() - idleUs;
+    /** Closes idle connections before the endpoint does: a request that crosses its close may have taken effect. */
+    private void closeExpiredIdleConnections() {
+        final long beforeUs = clock.nowUs() - maxIdleUs;
         pools.values()
                 .forEach(pool -> List.copyOf(pool.idle).stream()
-                        .filter(reader -> reader.idleSinceUs <= beforeUs)
-                        .forEach(Reader::close));
+                        .filter(connection -> connection.idleSinceUs <= beforeUs)
+                        .forEach(EndpointConnection::close));
     }
 
-    private void makeRoom() {
-        if (connections >= mostConnections) {
+    private void closeIdleConnectionIfFull() {
+        if (connections >= maxConnections) {
             closeOldestIdleConnection();
         }
     }
 
-    /** Gives up the connection that has been idle for longest. */
+    /** Closes the connection that has been idle longest. */
     void closeOldestIdleConnection() {
         pools.values().stream()
                 .filter(pool -> !pool.idle.isEmpty())
                 .map(pool -> pool.idle.peekFirst())
-                .min(Comparator.comparingLong(reader -> reader.idleSinceUs))
-                .ifPresent(Reader::close);
+                .min(Comparator.comparingLong(connection -> connection.idleSinceUs))
+                .ifPresent(EndpointConnection::close);
     }
 
     // ---------------------------------------------------------------- calls
 
     /**
-     * A call that has not begun; the journal comes first. The message that lives longest leads it: the call goes by
-     * the one that it names first, and an answer counts for none of the others once that one has been ended.
+     * Prepares a call, which is started after the journal has recorded it. The message with the latest end comes first:
+     * the first message decides for the call, and once it has ended a response counts for none of the others.
      */
-    Call prepareCall(final long endpoint, final List<MessageService.CallItem> parcels) {
-        final List<MessageService.CallItem> ranked = new ArrayList<>(parcels);
-        ranked.sort(Comparator.comparingLong(
-                        (MessageService.CallItem parcel) -> parcel.message().latestEndUs())
+    Call prepareCall(final long endpoint, final List<MessageService.CallItem> items) {
+        final List<MessageService.CallItem> byLatestEnd = new ArrayList<>(items);
+        byLatestEnd.sort(Comparator.comparingLong(
+                        (MessageService.CallItem item) -> item.message().latestEndUs())
                 .reversed());
-        return new Call(pool(endpoint), endpoint, ranked, clock.nowUs());
+        return new Call(pool(endpoint), endpoint, byLatestEnd, clock.nowUs());
     }
 
-    /** Made with the first call to an endpoint; null for one that the list does not name. */
+    /** The endpoint's pool, created with its first call; null if the endpoint is not listed. */
     private Pool pool(final long endpoint) {
         final Pool known = pools.get(endpoint);
-        final Target target = known == null ? host.target(endpoint) : null;
+        final Target target = known == null ? messageService.target(endpoint) : null;
         if (target == null) {
             return known;
         }
-        final Pool fresh = new Pool(endpoint, target);
-        pools.put(endpoint, fresh);
-        return fresh;
+        final Pool created = new Pool(endpoint, target);
+        pools.put(endpoint, created);
+        return created;
     }
 
     void startCall(final Call call) {
@@ -307,72 +310,72 @@
         }
         calls.add(call);
         scheduleAfterReading(() -> abandonCall(call, Result.TIMED_OUT), call.deadlineUs - call.sentUs);
-        for (final MessageService.CallItem parcel : call.parcels) {
-            // Also one that would have been sent again sooner: the call may go on for longer than its time.
-            final long leftUs = parcel.message().latestEndUs() - call.sentUs;
-            if (leftUs < call.deadlineUs - call.sentUs) {
-                scheduleAfterReading(() -> expire(call, parcel), leftUs);
+        for (final MessageService.CallItem item : call.items) {
+            // For messages with a shorter timeout too: the call may last longer than their time.
+            final long remainingUs = item.message().latestEndUs() - call.sentUs;
+            if (remainingUs < call.deadlineUs - call.sentUs) {
+                scheduleAfterReading(() -> expire(call, item), remainingUs);
             }
         }
-        if (call.writeByUs < call.deadlineUs) {
+        if (call.writeDeadlineUs < call.deadlineUs) {
             loop.schedule(
                     () -> {
                         if (!call.written) {
                             abandonCall(call, Result.NO_CONNECTION);
                         }
                     },
-                    call.writeByUs - call.sentUs,
+                    call.writeDeadlineUs - call.sentUs,
                     TimeUnit.MICROSECONDS);
         }
         call.started = true;
         try {
-            final Reader idle = idle(call.pool);
+            final EndpointConnection idle = idle(call.pool);
             if (idle != null) {
                 idle.write(call);
             } else {
                 connect(call);
             }
         } catch (final RuntimeException e) {
-            Log.failure("call of " + call.ids() + " cannot begin", e);
+            Log.failure("call of " + call.ids() + " cannot be started", e);
             abandonCall(call, Result.NO_CONNECTION);
         }
     }
 
-    /** Behind what has come by then: an answer that lies unread came in time. */
+    /** Schedules a task behind the socket reads: a response that is still unread arrived in time. */
     private void scheduleAfterReading(final Runnable task, final long delayUs) {
-        loop.schedule(() -> stalls.afterSocketReads(task), delayUs, TimeUnit.MICROSECONDS);
+        loop.schedule(() -> stallDetector.afterSocketReads(task), delayUs, TimeUnit.MICROSECONDS);
     }
 
-    private static Reader idle(final Pool pool) {
+    private static EndpointConnection idle(final Pool pool) {
         while (!pool.idle.isEmpty()) {
-            final Reader reader = pool.idle.pollLast();
-            if (reader.context.channel().isActive()) {
-                return reader;
+            final EndpointConnection connection = pool.idle.pollLast();
+            if (connection.context.channel().isActive()) {
+                return connection;
             }
         }
         return null;
     }
 
     private void connect(final Call call) {
-        makeRoom();
-        if (connections >= mostConnections) {
+        closeIdleConnectionIfFull();
+        if (connections >= maxConnections) {
             loop.execute(() -> abandonCall(call, Result.NOT_SENT));
             return;
         }
         final ChannelFuture connecting = bootstrap.connect(call.pool.address);
         if (!connecting.channel().isRegistered()) {
-            // No descriptor is left: there is no channel that could be closed, nor a thread that owns it.
-            host.relieveDescriptorShortage();
+            // No file descriptor is left: there is no channel to close and no event loop that owns one.
+            messageService.relieveDescriptorShortage();
             loop.execute(() -> abandonCall(call, Result.NO_CONNECTION));
             return;
         }
         connections++;
-        opened++;
+        connectionsOpened++;
         call.channel = (TrackedSocketChannel) connecting.channel();
         call.channel.closeFuture().addListener(closed -> connections--);
         connecting.addListener(done -> {
             if (done.isSuccess()) {
-                stalls.afterSocketReads(() -> connected(connecting.channel(), call));
+                stallDetector.afterSocketReads(() -> connected(connecting.channel(), call));
             } else if (calls.contains(call)) {
                 abandonCall(call, Result.NO_CONNECTION);
             }
@@ -381,150 +384,152 @@
 
     private void connected(final Channel channel, final Call call) {
         if (calls.contains(call)) {
-            channel.pipeline().get(Reader.class).write(call);
+            channel.pipeline().get(EndpointConnection.class).write(call);
         } else {
             channel.close();
         }
     }
 
     /**
-     * Ends a call from our side. Its connection, or our half of it, is closed before the outcome is told, so that no
-     * further attempt of a message can meet this one.
+     * Ends a call from our side. Its connection, or our half of it, is closed before the outcome is reported, so that
+     * no further attempt of a message can overlap with this one.
      */
     void abandonCall(final Call call, final Result result) {
         if (!calls.contains(call) && call.started) {
             return;
         }
         if (call.written && !call.delivered) {
-            call.channel.pipeline().get(Reader.class).letGo();
+            call.channel.pipeline().get(EndpointConnection.class).halfCloseForLateResponse();
         } else if (call.channel != null) {
             call.channel.close();
         }
-        end(call);
-        tellEnded(call, result);
+        remove(call);
+        reportEnd(call, result);
     }
 
-    /** Tells the outcome of a call that no answer has ended, and for what reason it has. */
-    private void tellEnded(final Call call, final Result reason) {
+    /** Reports the outcome of a call that ended without a complete response, for that reason. */
+    private void reportEnd(final Call call, final Result reason) {
         final Transmission request = call.transmission();
         if (request == Transmission.IN_DOUBT) {
-            host.requestInDoubt(call.ids(), call.pool.address);
+            messageService.requestInDoubt(call.ids(), call.pool.address);
         }
         final Result result = call.delivered ? Result.DELIVERED : DeliveryRules.resultOf(request, reason);
-        tell(call, new AttemptOutcome(result, call.delivered, 0, null));
+        reportOutcome(call, new AttemptOutcome(result, call.delivered, 0, null));
     }
 
     /**
-     * A message whose own time is up leaves a call that others still wait for. It is not sent again. With the last of
-     * its messages the call is given up. In a request that has been given to its connection it may still go out.
+     * Ends an expired message of a call that continues for its other messages. The message is not sent again. The call
+     * is abandoned with its last message. A request that has been passed to its connection may still send the message.
      */
-    private void expire(final Call call, final MessageService.CallItem parcel) {
-        if (!calls.contains(call) || !call.parcels.contains(parcel)) {
+    private void expire(final Call call, final MessageService.CallItem item) {
+        if (!calls.contains(call) || !call.items.contains(item)) {
             return;
         }
-        if (call.parcels.size() == 1) {
+        if (call.items.size() == 1) {
             abandonCall(call, Result.TIMED_OUT);
             return;
         }
-        call.parcels.remove(parcel);
-        if (call.handedOver) {
-            call.left.add(parcel);
-            host.remainsInCall(parcel);
+        call.items.remove(item);
+        if (call.queued) {
+            call.expiredItems.add(item);
+            messageService.remainsInCall(item);
         }
-        final Transmission request = call.handedOver ? Transmission.SENT : Transmission.NOT_SENT;
-        host.attemptEnded(
-                parcel, call, new AttemptOutcome(DeliveryRules.resultOf(request, Result.TIMED_OUT), false, 0, null));
+        final Transmission request = call.queued ? Transmission.SENT : Transmission.NOT_SENT;
+        messageService.attemptEnded(
+                item, call, new AttemptOutcome(DeliveryRules.resultOf(request, Result.TIMED_OUT), false, 0, null));
     }
 
-    /** A call is out no more; false if it was not. */
-    private boolean end(final Call call) {
+    /** Removes a call that is over; false if it was removed before. */
+    private boolean remove(final Call call) {
         final boolean known = calls.remove(call);
         if (known) {
-            call.left.forEach(host::callEnded);
+            call.expiredItems.forEach(messageService::callEnded);
         }
         return known;
     }
 
-    private void tell(final Call call, final AttemptOutcome answer) {
-        call.parcels.forEach(parcel -> host.attemptEnded(parcel, call, answer));
+    private void reportOutcome(final Call call, final AttemptOutcome outcome) {
+        call.items.forEach(item -> messageService.attemptEnded(item, call, outcome));
     }
 
-    /**
-     * Gives up calls that are on their way and not written yet: a wait was told, or their endpoint drains or is gone.
-     */
-    private void holdBack(final Predicate<Call> bound) {
+    /** Abandons unwritten calls, as after a retry-after, or when their endpoint drains or is removed. */
+    private void abandonUnwritten(final Predicate<Call> affected) {
         for (final Call call : List.copyOf(calls)) {
-            if (!call.written && bound.test(call)) {
+            if (!call.written && affected.test(call)) {
                 abandonCall(call, Result.NOT_SENT);
             }
         }
     }
 
-    /** A told wait binds the whole destination from now on, also calls that are on their way there. */
-    private void heed(final Pool told, final long waitUs) {
-        if (waitUs > 0) {
-            host.onRetryAfter(told.endpoint, waitUs);
-            holdBack(other -> told.apart ? other.pool == told : other.pool.destination == told.destination);
+    /** Applies a retry-after to the whole destination at once, or to the endpoint alone if its routes are separate. */
+    private void applyRetryAfter(final Pool pool, final long retryAfterUs) {
+        if (retryAfterUs > 0) {
+            messageService.onRetryAfter(pool.endpoint, retryAfterUs);
+            abandonUnwritten(
+                    other -> pool.separateRoutes ? other.pool == pool : other.pool.destination == pool.destination);
         }
     }
 
     // ---------------------------------------------------------------- one connection
 
     /**
-     * Sees the first line of an answer, long before the decoder has a whole head to tell of: one that says 200 is
-     * true even if the rest never comes, and the next of a key would wait for it until its time is up.
+     * Reads the status line of a response before the decoder has the whole head. A 200 holds even if the rest never
+     * arrives, and the next message of the ordering key would wait for the rest until its timeout.
      */
-    private static final class FirstLine extends ChannelInboundHandlerAdapter {
-        private final Reader reader;
+    private static final class StatusLineReader extends ChannelInboundHandlerAdapter {
+        private final EndpointConnection connection;
 
-        FirstLine(final Reader reader) {
-            this.reader = reader;
+        StatusLineReader(final EndpointConnection connection) {
+            this.connection = connection;
         }
 
         @Override
         public void channelRead(final ChannelHandlerContext ctx, final Object bytes) {
-            if (reader.firstLine != null && bytes instanceof ByteBuf buffer) {
-                for (int at = buffer.readerIndex(); at < buffer.writerIndex() && reader.firstLine != null; at++) {
-                    reader.firstByte((char) buffer.getByte(at));
+            if (connection.statusLine != null && bytes instanceof ByteBuf buffer) {
+                for (int at = buffer.readerIndex(); at < buffer.writerIndex() && connection.statusLine != null; at++) {
+                    connection.readStatusLineByte((char) buffer.getByte(at));
                 }
             }
             ctx.fireChannelRead(bytes);
         }
     }
 
-    /** Reads the answers of one connection. */
-    private final class Reader extends SimpleChannelInboundHandler<HttpObject> {
+    /** Writes the requests and reads the responses of one connection. */
+    private final class EndpointConnection extends SimpleChannelInboundHandler<HttpObject> {
         private ChannelHandlerContext context;
         private Call call;
-        /** Whose answer to a call that was given up may still come. */
-        private Pool late;
+        /** The pool of an abandoned call whose response may still arrive. */
+        private Pool abandonedPool;
 
         private long idleSinceUs;
         private HttpResponse head;
-        private boolean keep;
+        private boolean keepAlive;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-        /** What has come of an answer's first line; null while none is due, or once it has been read. */
-        private StringBuilder firstLine;
+        /** The part of a status line read so far; null while none is expected or once it has been read. */
+        private StringBuilder statusLine;
 
-        /** The next byte of the first line. */
-        private void firstByte(final char next) {
-            if (next != '\n' && firstLine.length() < MOST_LINE_CHARS) {
-                firstLine.append(next);
+        /** Handles the next byte of the status line. */
+        private void readStatusLineByte(final char next) {
+            if (next != '\n' && statusLine.length() < MAX_STATUS_LINE_CHARS) {
+                statusLine.append(next);
                 return;
             }
             final boolean delivered =
-                    next == '\n' && FIRST_LINE.matcher(firstLine).lookingAt();
-            firstLine = null;
+                    next == '\n' && OK_STATUS_LINE.matcher(statusLine).lookingAt();
+            statusLine = null;
             if (delivered && call != null) {
-                sure(call);
+                markDelivered(call);
             }
         }
 
-        /** A 200 is true: whatever becomes of the rest, it is not waited for long. */
-        private void sure(final Call answered) {
+        /** Marks a call as delivered by its 200; the rest of the response is waited for only briefly. */
+        private void markDelivered(final Call answered) {
             if (!answered.delivered) {
                 answered.delivered = true;
-                loop.schedule(() -> abandonCall(answered, Result.DELIVERED), BODY_MS, TimeUnit.MILLISECONDS);
+                loop.schedule(
+                        () -> abandonCall(answered, Result.DELIVERED),
+                        DELIVERED_BODY_TIMEOUT_MS,
+                        TimeUnit.MILLISECONDS);
             }
         }
 
@@ -534,39 +539,39 @@
         }
 
         private void write(final Call next) {
-            if (clock.nowUs() >= next.writeByUs) {
-                // Its connection came up too late for a repeat.
+            if (clock.nowUs() >= next.writeDeadlineUs) {
+                // The connection was established too late for sending the message again.
                 context.close();
                 abandonCall(next, Result.NO_CONNECTION);
                 return;
             }
-            next.parcels.stream().toList().forEach(parcel -> dropUnlessAllowed(next, parcel));
-            if (next.parcels.isEmpty()) {
-                end(next);
+            next.items.stream().toList().forEach(item -> dropUnlessAllowed(next, item));
+            if (next.items.isEmpty()) {
+                remove(next);
                 context.close();
                 return;
             }
             call = next;
             call.channel = (TrackedSocketChannel) context.channel();
             head = null;
-            firstLine = call.many ? null : new StringBuilder();
+            statusLine = call.bulk ? null : new StringBuilder();
             body.reset();
             final FullHttpRequest request = request(call);
-            call.writesBefore = call.channel.writeCount();
-            call.handedOver = true;
+            call.writeCountAtQueueing = call.channel.writeCount();
+            call.queued = true;
             context.writeAndFlush(request).addListener(done -> {
                 if (done.isSuccess()) {
                     next.written = true;
-                    host.metrics().forwarded(next.parcels.size());
+                    messageService.metrics().forwarded(next.items.size());
                 }
             });
         }
 
-        /** Takes a message out of a call whose first byte is due, if the message may not go out now. */
-        private void dropUnlessAllowed(final Call due, final MessageService.CallItem parcel) {
-            if (!host.mayWrite(parcel, due)) {
-                due.parcels.remove(parcel);
-                host.attemptEnded(parcel, due, new AttemptOutcome(Result.NOT_SENT, false, 0, null));
+        /** Removes a message that may not be sent now from a call that is about to be written. */
+        private void dropUnlessAllowed(final Call due, final MessageService.CallItem item) {
+            if (!messageService.mayWrite(item, due)) {
+                due.items.remove(item);
+                messageService.attemptEnded(item, due, new AttemptOutcome(Result.NOT_SENT, false, 0, null));
             }
         }
 
@@ -577,15 +582,12 @@
             }
         }
 
-        /**
-         * Gives the call up by ending our sending: an answer that is on its way may still tell a wait, and that
-         * binds.
-         */
-        private void letGo() {
-            late = call.pool;
+        /** Abandons the call by closing our half: a late response may still carry a retry-after, which applies. */
+        private void halfCloseForLateResponse() {
+            abandonedPool = call.pool;
             call = null;
             HalfClose.shutdownOutputOrClose((TrackedSocketChannel) context.channel());
-            loop.schedule(() -> context.close(), LATE_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> context.close(), LATE_RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
         private void unpool() {
@@ -594,37 +596,37 @@
 
         @Override
         protected void channelRead0(final ChannelHandlerContext ctx, final HttpObject part) {
-            if (late != null && part instanceof HttpResponse response) {
-                heed(late, CallCodec.retryAfterUs(response));
+            if (abandonedPool != null && part instanceof HttpResponse response) {
+                applyRetryAfter(abandonedPool, CallCodec.retryAfterUs(response));
             }
             if (call == null) {
-                // Bytes that answer nothing: this connection cannot be trusted.
-                broken();
+                // A response without a request: this connection cannot be trusted.
+                connectionBroken();
                 return;
             }
             if (part instanceof HttpResponse response) {
-                // Also where the rest cannot be read: a first line that says 200 is true.
+                // Even if the rest is malformed: a status line that says 200 holds.
                 head = response;
-                keep = HttpUtil.isKeepAlive(response);
-                if (response.status().code() == OK && !call.many) {
-                    sure(call);
+                keepAlive = HttpUtil.isKeepAlive(response);
+                if (response.status().code() == OK && !call.bulk) {
+                    markDelivered(call);
                 }
             }
             if (part.decoderResult().isFailure()) {
-                Log.info("an answer of " + call.pool.address + " to " + call.ids() + " cannot be read"
-                        + (head == null ? "" : " behind " + head.status().code()) + ": "
+                Log.info("malformed response from " + call.pool.address + " to the call of " + call.ids()
+                        + (head == null ? "" : " after status " + head.status().code()) + ": "
                         + part.decoderResult().cause().getClass().getSimpleName());
-                broken();
+                connectionBroken();
                 return;
             }
             if (part instanceof HttpContent content) {
-                if (body.size() + content.content().readableBytes() > MOST_BODY_BYTES) {
-                    broken();
+                if (body.size() + content.content().readableBytes() > MAX_BODY_BYTES) {
+                    connectionBroken();
                     return;
                 }
                 read(content.content());
             }
-            if (part instanceof LastHttpContent && head != null && head.status().code() >= INFORMATIONAL) {
+            if (part instanceof LastHttpContent && head != null && head.status().code() >= FIRST_FINAL_STATUS) {
                 finish();
             }
         }
@@ -638,57 +640,57 @@
         }
 
         private void finish() {
-            final Call done = call;
+            final Call finished = call;
             call = null;
-            if (!end(done)) {
+            if (!remove(finished)) {
                 context.close();
                 return;
             }
-            if (keep && done.written && !done.pool.removed && !winding) {
+            if (keepAlive && finished.written && !finished.pool.removed && !draining) {
                 idleSinceUs = clock.nowUs();
-                done.pool.idle.addLast(this);
+                finished.pool.idle.addLast(this);
             } else {
                 context.close();
             }
-            final long waitUs = CallCodec.retryAfterUs(head);
-            heed(done.pool, waitUs);
-            final AttemptOutcome all = answer(done.pool, head, waitUs);
-            if (done.many && head.status().code() == OK) {
-                tellEach(done, all);
+            final long retryAfterUs = CallCodec.retryAfterUs(head);
+            applyRetryAfter(finished.pool, retryAfterUs);
+            final AttemptOutcome outcome = parseOutcome(finished.pool, head, retryAfterUs);
+            if (finished.bulk && head.status().code() == OK) {
+                reportBulkOutcomes(finished, outcome);
             } else {
-                tell(done, all);
+                reportOutcome(finished, outcome);
             }
         }
 
-        /** The connection has ended, or is of no more use. One message with a 200 ahead of the break is delivered. */
-        private void broken() {
+        /** Handles a broken or unusable connection. A single message with a 200 before the break is delivered. */
+        private void connectionBroken() {
             unpool();
             context.close();
-            final Call cut = call;
+            final Call interrupted = call;
             call = null;
-            if (cut == null || !end(cut)) {
+            if (interrupted == null || !remove(interrupted)) {
                 return;
             }
-            if (cut.delivered && head != null && head.status().code() == OK) {
-                tell(cut, answer(cut.pool, head, 0));
+            if (interrupted.delivered && head != null && head.status().code() == OK) {
+                reportOutcome(interrupted, parseOutcome(interrupted.pool, head, 0));
             } else {
-                tellEnded(cut, Result.NO_CONNECTION);
+                reportEnd(interrupted, Result.NO_CONNECTION);
             }
         }
 
-        /** Several messages' ends, each with its state; one that is not named may have run. */
-        private void tellEach(final Call done, final AttemptOutcome all) {
+        /** Reports each message of a bulk call by its own state; one without a state may have taken effect. */
+        private void reportBulkOutcomes(final Call finished, final AttemptOutcome callOutcome) {
             final Map<String, String> states = CallCodec.parseStates(body.toByteArray());
-            for (final MessageService.CallItem parcel : done.parcels) {
-                final AttemptOutcome one =
-                        CallCodec.outcomeOfMessage(states.getOrDefault(parcel.message().accepted.id, ""), all);
-                host.attemptEnded(parcel, done, one);
+            for (final MessageService.CallItem item : finished.items) {
+                final AttemptOutcome outcome =
+                        CallCodec.outcomeOfMessage(states.getOrDefault(item.message().accepted.id, ""), callOutcome);
+                messageService.attemptEnded(item, finished, outcome);
             }
         }
 
         @Override
         public void channelInactive(final ChannelHandlerContext ctx) {
-            broken();
+            connectionBroken();
         }
 
         @Override
@@ -697,26 +699,26 @@
             if (!(cause instanceof IOException)) {
                 Log.failure("connection to an endpoint", cause);
             }
-            broken();
+            connectionBroken();
         }
     }
 
     private FullHttpRequest request(final Call call) {
         final List<AcceptedMessage> messages =
-                call.parcels.stream().map(parcel -> parcel.message().accepted).toList();
+                call.items.stream().map(item -> item.message().accepted).toList();
         final long timeoutMs = Math.max(1, (call.deadlineUs - clock.nowUs()) / US_PER_MS);
-        final String to = call.pool.address.getHostString();
-        return call.many
-                ? CallCodec.bulkRequest(messages, to, timeoutMs)
-                : CallCodec.singleRequest(messages.get(0), to, timeoutMs);
+        final String hostName = call.pool.address.getHostString();
+        return call.bulk
+                ? CallCodec.bulkRequest(messages, hostName, timeoutMs)
+                : CallCodec.singleRequest(messages.get(0), hostName, timeoutMs);
     }
 
-    private static AttemptOutcome answer(final Pool pool, final HttpResponse head, final long waitUs) {
-        if (!pool.misreports && CallCodec.hasUnreadableLimitReport(head)) {
-            // Once: the endpoint may say so with every answer.
-            pool.misreports = true;
-            Log.info(pool.address + " reports what no limit can be: " + CallCodec.loadReport(head));
+    private static AttemptOutcome parseOutcome(final Pool pool, final HttpResponse head, final long retryAfterUs) {
+        if (!pool.unusableLimitLogged && CallCodec.hasUnreadableLimitReport(head)) {
+            // Logged once: the endpoint may send it with every response.
+            pool.unusableLimitLogged = true;
+            Log.info(pool.address + " reports an unusable limit: " + CallCodec.loadReport(head));
         }
-        return CallCodec.outcomeOf(head, waitUs);
+        return CallCodec.outcomeOf(head, retryAfterUs);
     }
 }
--- a/src/main/java/railspar/node/IntervalCounters.java
+++ b/src/main/java/railspar/node/IntervalCounters.java
@@ -14,36 +14,37 @@
     private int requestsInDoubt;
     private int answersInDoubt;
 
-    /** A message was accepted. */
+    /** Counts an accepted message. */
     void messageAccepted() {
         messagesAccepted++;
     }
 
-    /** A message was rejected before it was accepted: the store or the journal was full. */
+    /** Counts a message that was rejected at admission: the store or the journal was full. */
     void messageRejected() {
         messagesRejected++;
     }
 
-    /** A client's connection was closed to make room for others. */
+    /** Counts a client connection that was closed to make room for others. */
     void connectionShed() {
         connectionsShed++;
     }
 
-    /** A message was ended undelivered. */
+    /** Counts a message that ended undelivered. */
     void messageEndedUndelivered() {
         messagesEndedUndelivered++;
     }
 
-    /** A call's request may have left although a write failed; the result is how many there were. */
+    /** Counts a request that may have been sent although a write failed; returns the count. */
     int requestInDoubt() {
         return ++requestsInDoubt;
     }
 
-    /** A client may have read that its message is taken on although a write failed; likewise. */
+    /** Counts an accepting answer that its client may have read although a write failed; returns the count. */
     int answerInDoubt() {
         return ++answersInDoubt;
     }
 
+    /** Counts the result of an attempt. */
     void attemptEnded(final Courier.Result result) {
         outcomes.merge(result, 1, Integer::sum);
     }
--- a/src/main/java/railspar/node/MessageService.java
+++ b/src/main/java/railspar/node/MessageService.java
@@ -21,102 +21,103 @@
 import railspar.DeliveryRules.Violation;
 
 /**
- * The one that calls {@link Control}: it tells it what the sockets brought in a pass of the event loop, lets it
- * decide once, and carries out what it asked for. It holds the open messages, and keeps the journal ahead of every
- * byte that promises something. All of it runs on the event loop's thread.
+ * Connects {@link Control} to the sockets: passes it the events of one pass of the event loop, lets it decide once per
+ * pass, and performs the actions that it requests. It keeps the open messages and writes to the journal before it sends
+ * any byte that promises something. Everything runs on the event loop's thread.
  */
 final class MessageService implements Courier.Actions {
     private static final long US_PER_MS = 1000;
-    private static final long REPORT_S = 5;
-    /** How often the figures that are no counts are read anew: they may be half a second old. */
-    private static final long FIGURES_MS = 100;
-    /** How often a process that leaves is listened to, and how long its end is left to close its connections. */
-    private static final long HEAR_MS = 10;
+    private static final long REPORT_INTERVAL_S = 5;
+    /** How often the gauges are updated. They may be up to half a second old. */
+    private static final long GAUGE_INTERVAL_MS = 100;
+    /** How often the files of predecessor processes are read. */
+    private static final long PREDECESSOR_POLL_MS = 10;
     /**
-     * How often the marks of endpoints taken out are looked at, as a drain binds after 250 ms, and what could not be
-     * recorded is tried again, as a notice is due 300 ms after its message's time is up.
+     * How often the operators' overrides are read and failed journal writes are retried. A drain must be obeyed after
+     * 250 ms, and a notice is due 300 ms after its message's deadline.
      */
-    private static final long FOLDER_MS = 50;
+    private static final long STATE_POLL_MS = 50;
 
-    private static final long DEAD_US = 20_000;
+    /** How long after a predecessor's death its calls count as interrupted: its connections are closed by then. */
+    private static final long PREDECESSOR_DEAD_US = 20_000;
     /**
-     * A message's time runs from when its client sent it. It may have lain unread while the process had no core, up
-     * to 0.4 s, after which the client would be gone; and one that a dead courier did not take comes with the time
-     * that it had before. Seen: 0.8 s. An end is late 0.3 s after the time is up.
+     * A message's time runs from when its client sent it. The request may have been unread for up to 0.4 s while the
+     * process had no core; after that its client has gone. A message that a dead courier did not accept arrives with
+     * its original timeout. Up to 0.8 s were observed. A message's end is late from 0.3 s after its deadline.
      */
-    private static final long UNREAD_US = 700_000;
-    /** At most that share of what is left of its time: one that is given up before seven tenths of it is priced. */
-    private static final double UNREAD_SHARE = 0.25;
-    /** Share of a key's window that is kept free at its end, as the decisions do. */
-    private static final double KEY_MARGIN = 0.05;
-    /** Requests and answers in doubt that are told in the log by their ids, in each time between two reports. */
-    private static final int MOST_DOUBTS_LOGGED = 50;
-    /** When the store is full: a message's time in it is some seconds, so that one place is free soon. */
-    private static final long FULL_RETRY_US = 1_000_000;
-
-    /** Where the answer to a client goes. */
+    private static final long MAX_AGE_UNCERTAINTY_US = 700_000;
+    /** Upper bound as a share of the message's time left: giving up before seven tenths of it is penalised. */
+    private static final double MAX_AGE_UNCERTAINTY_SHARE = 0.25;
+    /** Share at the end of a deduplication window in which nothing is sent, as in the decisions. */
+    private static final double DEDUP_WINDOW_MARGIN = 0.05;
+    /** Requests and answers in doubt that are logged with their ids between two reports. */
+    private static final int MAX_IN_DOUBT_LOGGED = 50;
+    /** Retry-after when the store is full: messages stay in it for some seconds, so that there is soon room for one. */
+    private static final long STORE_FULL_RETRY_US = 1_000_000;
+
+    /** Receives the first answer to a message, for its client. */
     interface Reply {
-        /** Taken on. */
+        /** The message is accepted. */
         void accepted();
 
-        /** Refused, and harmless to hand in again, after a while if above 0. */
+        /** The message is rejected and may safely be submitted again, after {@code retryAfterUs} if that is above 0. */
         void refused(int status, long retryAfterUs);
 
-        /** Ended with nothing promised. */
+        /** The message has ended, and nothing is promised. */
         void failed();
     }
 
-    /** A message that is owed its end. */
+    /** A message that has not ended yet. */
     static final class OpenMessage {
         final AcceptedMessage accepted;
         final Courier.MessageClass messageClass;
         final long validUntilUs;
-        /** It may be so much older than we can tell. */
+        /** By how much the message may be older than is known. */
         final long ageUncertaintyUs;
-        /** Where its first answer goes; null once that is given. */
+        /** Receives the first answer; null once that is given. */
         private Reply reply;
 
-        private boolean over;
+        private boolean ended;
         private EndpointClient.Call call;
-        /** Where the call goes that is out at the process before this one. */
+        /** The endpoint of a call that is in flight in the predecessor process. */
         private long endpoint;
-        /** For the log: when it came to this process, when it was first sent, and how it fared last. */
-        private final long sinceUs;
+        /** For the log, with the two fields below: arrival at this process, first send, last result. */
+        private final long arrivedUs;
 
         private long firstSentUs;
         private Courier.Result lastResult;
 
         OpenMessage(
-                final AcceptedMessage held,
-                final Courier.MessageClass kind,
+                final AcceptedMessage accepted,
+                final Courier.MessageClass messageClass,
                 final long validUntilUs,
                 final Reply reply,
-                final long sinceUs) {
-            this.accepted = held;
-            this.messageClass = kind;
+                final long arrivedUs) {
+            this.accepted = accepted;
+            this.messageClass = messageClass;
             this.validUntilUs = validUntilUs;
-            this.ageUncertaintyUs = Math.max(0, Math.min(UNREAD_US, (long) (UNREAD_SHARE * (validUntilUs - sinceUs))));
+            this.ageUncertaintyUs = Math.max(0, Math.min(MAX_AGE_UNCERTAINTY_US, (long)
+                    (MAX_AGE_UNCERTAINTY_SHARE * (validUntilUs - arrivedUs))));
             this.reply = reply;
-            this.sinceUs = sinceUs;
+            this.arrivedUs = arrivedUs;
         }
 
-        /** True while that call is its attempt. */
+        /** True while the message is open and {@code other} is its current call. */
         boolean isCurrentCall(final EndpointClient.Call other) {
-            return !over && call == other;
+            return !ended && call == other;
         }
 
-        /** That call is its attempt from now on. */
         void assignCall(final EndpointClient.Call other) {
             call = other;
         }
 
-        /** When it is ended at the latest. */
+        /** The latest time at which the message must end. */
         long latestEndUs() {
             return validUntilUs - ageUncertaintyUs;
         }
     }
 
-    /** One message's part in a call, which may be written until {@code writeDeadlineUs} and not after. */
+    /** One message of a call. It must not be written after {@code writeDeadlineUs}. */
     record CallItem(OpenMessage message, long timeoutUs, long writeDeadlineUs) {}
 
     private final Config config;
@@ -129,37 +130,39 @@
     private final Map<String, OpenMessage> messages = new LinkedHashMap<>();
     private final Map<String, Integer> classes = new HashMap<>();
     private final Map<Long, List<CallItem>> outbox = new LinkedHashMap<>();
-    private final List<OpenMessage> unanswered = new ArrayList<>();
-    /** Messages that have ended by a notice which the journal has not recorded yet. */
-    private final List<OpenMessage> unrecorded = new ArrayList<>();
-    /** Messages that were handed on to the process that takes over. */
-    private final Set<String> handedOn = new HashSet<>();
-    /** Messages that have ended and are still in a call, and those of them whose notice is answered. */
-    private final Set<String> out = new HashSet<>();
-
-    private final Map<String, AcceptedMessage> answered = new HashMap<>();
+    /** Messages that were submitted in this pass and whose clients have no answer yet. */
+    private final List<OpenMessage> unconfirmed = new ArrayList<>();
+    /** Messages that ended with a notice which the journal has not recorded yet. */
+    private final List<OpenMessage> unrecordedNotices = new ArrayList<>();
+    /** Ids of messages that were accepted for the successor process during a handover. */
+    private final Set<String> acceptedForSuccessor = new HashSet<>();
+    /** Ids of messages that have ended while the call that they share is still in flight. */
+    private final Set<String> endedInCall = new HashSet<>();
+    /** Those of them whose notices are confirmed, by id. */
+    private final Map<String, AcceptedMessage> confirmedInCall = new HashMap<>();
+
     private final IntervalCounters counters = new IntervalCounters();
     private final DeliveryRules rules = new DeliveryRules();
     /** True while this process holds the lock of its state folder. */
     private BooleanSupplier holdsLock = () -> true;
 
     private final UnrecordedCalls unrecordedCalls;
-    private final StallDetector stalls;
+    private final StallDetector stallDetector;
     private final Metrics metrics;
-    /** Those that this process takes over from, while it still has something to hear from them. */
+    /** The files of predecessor processes that may still report something. */
     private final List<HandoverReader> predecessors = new ArrayList<>();
 
     private Journal journal;
-    /** What this process tells the one that takes over from it; null until it leaves. */
-    private HandoverWriter leaving;
-    /** What operators have taken out or put back of late, by the endpoints' names; the folder holds it. */
-    private Map<String, Long> marks = Map.of();
-    /** The last look at the folder failed. */
-    private boolean marksUnreadable;
+    /** The file for the successor process; null until this process hands over. */
+    private HandoverWriter handover;
+    /** Copy of the overrides in the state folder, by endpoint name: disabled, or the time of enabling it again. */
+    private Map<String, Long> overrides = Map.of();
+    /** The last attempt to read the overrides failed. */
+    private boolean overridesUnreadable;
 
-    private final OperatorOverrides folder;
-    private Runnable relief = () -> {};
-    private boolean passDue;
+    private final OperatorOverrides operatorOverrides;
+    private Runnable descriptorRelief = () -> {};
+    private boolean passScheduled;
 
     MessageService(final Config config, final EventLoop loop, final Clock clock) {
         this.config = config;
@@ -168,20 +171,20 @@
                 .toList());
         this.loop = loop;
         this.clock = clock;
-        this.folder = new OperatorOverrides(
+        this.operatorOverrides = new OperatorOverrides(
                 config.state(), config.settings().ruleParameters().warmupUs());
-        this.stalls = StallDetector.start(loop, clock);
-        this.endpointClient = new EndpointClient(config, loop, clock, stalls, this);
+        this.stallDetector = StallDetector.start(loop, clock);
+        this.endpointClient = new EndpointClient(config, loop, clock, stallDetector, this);
         this.unrecordedCalls = new UnrecordedCalls(clock, endpointClient, this::recordAttempts, this::mayCall);
         this.discovery = new Discovery(config, loop, this);
-        final int mostResting =
+        final int maxIdleDestinations =
                 MemoryBudget.maxIdleDestinations(Runtime.getRuntime().maxMemory());
-        this.control = new Control(config.settings(), config.seed(), this, discovery, mostResting);
+        this.control = new Control(config.settings(), config.seed(), this, discovery, maxIdleDestinations);
         this.notices = new NoticeSender(config.discovery(), loop, this);
-        config.settings().classes().forEach(kind -> classes.put(kind.name(), classes.size()));
+        config.settings().classes().forEach(messageClass -> classes.put(messageClass.name(), classes.size()));
     }
 
-    /** Begins to follow the list, which a process that waits for its turn does too. Runs on the event loop. */
+    /** Starts to watch the list, which a successor that waits for its handover does too. Runs on the event loop. */
     void startListWatch() {
         discovery.restore(config.known());
         if (config.settings().listOnRequest()) {
@@ -189,239 +192,239 @@
         } else {
             discovery.watchContinuously();
         }
-        loop.scheduleWithFixedDelay(this::count, 0, FIGURES_MS, TimeUnit.MILLISECONDS);
-        loop.scheduleWithFixedDelay(this::tendFolder, 0, FOLDER_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(this::updateGauges, 0, GAUGE_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(this::pollStateFolder, 0, STATE_POLL_MS, TimeUnit.MILLISECONDS);
     }
 
-    // ---------------------------------------------------------------- what operators take out
+    // ---------------------------------------------------------------- operators' overrides
 
-    /** Takes an endpoint out, or puts it back; null once that holds, or why it does not. */
-    String overrideEndpoint(final String host, final boolean out) {
-        if (discovery.idOf(host) == null && !marks.containsKey(host)) {
+    /** Disables an endpoint, or enables it again. Returns null on success, else the reason of the failure. */
+    String overrideEndpoint(final String host, final boolean disabled) {
+        if (discovery.idOf(host) == null && !overrides.containsKey(host)) {
             return "nobody has the id " + host;
         }
         try {
-            if (out) {
-                folder.disable(host);
+            if (disabled) {
+                operatorOverrides.disable(host);
             } else {
-                folder.enable(host, clock.persistentUs());
+                operatorOverrides.enable(host, clock.persistentUs());
             }
         } catch (final IOException e) {
-            Log.info("cannot mark " + host + ": " + e.getMessage());
-            return "cannot write it down: " + e.getMessage();
+            Log.info("cannot store the override of endpoint " + host + ": " + e.getMessage());
+            return "cannot store the override: " + e.getMessage();
         }
-        look();
+        readOverrides();
         return null;
     }
 
-    private void tendFolder() {
-        look();
-        if (journal != null && leaving == null) {
+    private void pollStateFolder() {
+        readOverrides();
+        if (journal != null && handover == null) {
             flushJournal();
         }
     }
 
-    /** The other process of this courier may have been called as well: what is on disk holds for both. */
-    private void look() {
-        final Map<String, Long> found;
+    /** Reads the overrides from disk: an operator may have sent a command to this courier's other process. */
+    private void readOverrides() {
+        final Map<String, Long> stored;
         try {
-            found = folder.read(clock.persistentUs());
+            stored = operatorOverrides.read(clock.persistentUs());
         } catch (final IOException e) {
-            if (!marksUnreadable) {
-                Log.info("cannot read which endpoints are out, what was read before holds: " + e.getMessage());
+            if (!overridesUnreadable) {
+                Log.info("cannot read the endpoint overrides; those read before stay in force: " + e.getMessage());
             }
-            marksUnreadable = true;
+            overridesUnreadable = true;
             return;
         }
-        marksUnreadable = false;
-        if (!found.equals(marks)) {
-            final Set<String> changed = new HashSet<>(found.keySet());
-            changed.removeIf(host -> found.get(host).equals(marks.get(host)));
-            marks = found;
+        overridesUnreadable = false;
+        if (!stored.equals(overrides)) {
+            final Set<String> changed = new HashSet<>(stored.keySet());
+            changed.removeIf(host -> stored.get(host).equals(overrides.get(host)));
+            overrides = stored;
             Log.info("by hand: "
-                    + found.values().stream()
-                            .filter(at -> at == OperatorOverrides.DISABLED)
+                    + stored.values().stream()
+                            .filter(override -> override == OperatorOverrides.DISABLED)
                             .count() + " endpoints out; changed "
                     + changed);
-            changed.forEach(this::mark);
-            count();
-            touch();
+            changed.forEach(this::applyOverride);
+            updateGauges();
+            schedulePass();
         }
     }
 
-    /** Tells the decisions how an endpoint stands by hand. */
-    private void mark(final String host) {
+    /** Passes an endpoint's override to the decisions. */
+    private void applyOverride(final String host) {
         final Long endpoint = discovery.idOf(host);
         if (endpoint != null) {
-            final long at = marks.get(host);
+            final long override = overrides.get(host);
             control.onOverride(
                     clock.nowUs(),
                     endpoint,
-                    at == OperatorOverrides.DISABLED,
-                    at == OperatorOverrides.DISABLED ? 0 : clock.fromPersistentUs(at));
-            if (at == OperatorOverrides.DISABLED) {
+                    override == OperatorOverrides.DISABLED,
+                    override == OperatorOverrides.DISABLED ? 0 : clock.fromPersistentUs(override));
+            if (override == OperatorOverrides.DISABLED) {
                 endpointClient.cancelUnsentCalls(endpoint);
             }
         }
     }
 
-    /** Decisions are made only while that holds: another process may own the state folder otherwise. */
+    /** Sets the condition for making decisions: without the lock another process may own the state folder. */
     void decideOnlyWhile(final BooleanSupplier lockIsHeld) {
         holdsLock = lockIsHeld;
     }
 
-    /** Runs what depends on the list once it is known what counts as told, or cannot be had. */
-    void whenListReady(final Runnable begin) {
-        discovery.whenListReady(begin);
+    /** Runs {@code task} once the list is known or turns out to be unavailable. */
+    void whenListReady(final Runnable task) {
+        discovery.whenListReady(task);
     }
 
     /**
-     * Takes up what an earlier process held, and decides from now on. Runs on the event loop.
+     * Resumes the open messages of earlier processes and starts to make decisions. Runs on the event loop.
      *
-     * @throws IOException if the folder cannot be read now; nothing has been taken up then
+     * @throws IOException if the folder cannot be read now; no message has been resumed then
      */
-    void start(final Journal owned) throws IOException {
-        predecessors.addAll(HandoverReader.openAll(config.state(), clock, owned));
-        journal = owned;
+    void start(final Journal ownedJournal) throws IOException {
+        predecessors.addAll(HandoverReader.openAll(config.state(), clock, ownedJournal));
+        journal = ownedJournal;
         discovery.startPersisting();
-        look();
+        readOverrides();
         int resumed = 0;
-        for (final AcceptedMessage held : journal.openMessages()) {
-            resumed += takeUp(held) ? 1 : 0;
+        for (final AcceptedMessage accepted : journal.openMessages()) {
+            resumed += resumeOrNotify(accepted) ? 1 : 0;
         }
         if (resumed > 0) {
             Log.info("resumed " + resumed + " messages");
         }
-        hear();
+        readPredecessors();
         Log.info(config.describe());
-        loop.scheduleWithFixedDelay(this::report, REPORT_S, REPORT_S, TimeUnit.SECONDS);
+        loop.scheduleWithFixedDelay(this::logReport, REPORT_INTERVAL_S, REPORT_INTERVAL_S, TimeUnit.SECONDS);
         followPredecessors();
-        touch();
+        schedulePass();
     }
 
-    /** Goes on with what an earlier process held; true for a message, false for a notice that is all that is owed. */
-    private boolean takeUp(final AcceptedMessage held) {
-        final Integer index = classes.get(held.className);
-        if (held.notice() != null) {
-            owe(held);
+    /** Resumes an earlier process's message, or sends its notice if it has ended. Returns true if it is resumed. */
+    private boolean resumeOrNotify(final AcceptedMessage accepted) {
+        final Integer index = classes.get(accepted.className);
+        if (accepted.notice() != null) {
+            addNotice(accepted);
         } else if (index == null) {
-            end(new OpenMessage(held, null, 0, null, clock.nowUs()), new AcceptedMessage.Notice(true, 0));
+            endWithNotice(new OpenMessage(accepted, null, 0, null, clock.nowUs()), new AcceptedMessage.Notice(true, 0));
         } else {
-            resume(held, index);
+            resume(accepted, index);
             return true;
         }
         return false;
     }
 
-    private void resume(final AcceptedMessage held, final int index) {
-        final OpenMessage open = new OpenMessage(
-                held,
+    private void resume(final AcceptedMessage accepted, final int index) {
+        final OpenMessage message = new OpenMessage(
+                accepted,
                 config.settings().classes().get(index),
-                clock.fromPersistentUs(held.validUntilPersistentUs),
+                clock.fromPersistentUs(accepted.validUntilPersistentUs),
                 null,
                 clock.nowUs());
-        final String host = held.hasAttemptInFlight() ? outTo(held.id) : null;
-        final Courier.AttemptHistory past;
+        final String host = accepted.hasAttemptInFlight() ? endpointOfInheritedCall(accepted.id) : null;
+        final Courier.AttemptHistory history;
         if (host == null) {
-            past = held.historyAfterInterruption(clock);
-            if (held.hasAttemptInFlight()) {
-                journal.endAttempt(held, false);
+            history = accepted.historyAfterInterruption(clock);
+            if (accepted.hasAttemptInFlight()) {
+                journal.endAttempt(accepted, false);
             }
         } else {
-            open.endpoint = discovery.idOf(host, held.attemptZone(), held.destination);
-            past = held.historyWithInheritedCall(clock, open.endpoint);
+            message.endpoint = discovery.idOf(host, accepted.attemptZone(), accepted.destination);
+            history = accepted.historyWithInheritedCall(clock, message.endpoint);
         }
-        messages.put(held.id, open);
-        control.onMessageResumed(clock.nowUs(), message(open, index), past);
+        messages.put(accepted.id, message);
+        control.onMessageResumed(clock.nowUs(), toCourierMessage(message, index), history);
     }
 
-    // ---------------------------------------------------------------- taking over, and leaving
+    // ---------------------------------------------------------------- handover
 
-    /** The endpoint to which a process that leaves has this message's call out, or null. */
-    private String outTo(final String id) {
+    /** The endpoint of this message's call in flight in a predecessor process, or null. */
+    private String endpointOfInheritedCall(final String id) {
         return predecessors.stream()
-                .map(one -> one.endpointOfCall(id))
+                .map(predecessor -> predecessor.endpointOfCall(id))
                 .filter(Objects::nonNull)
                 .findFirst()
                 .orElse(null);
     }
 
-    /** Takes up what processes that leave have told since; ahead of each decision, and of each message taken. */
-    private void hear() {
-        for (final HandoverReader one : predecessors) {
+    /** Processes new records of predecessor processes. Called before each decision and each accepted message. */
+    private void readPredecessors() {
+        for (final HandoverReader predecessor : predecessors) {
             try {
-                if (one.read(new Heard())) {
-                    journal.recordReadPosition(one.fileName(), one.position());
-                    touch();
+                if (predecessor.read(new PredecessorEvents())) {
+                    journal.recordReadPosition(predecessor.fileName(), predecessor.position());
+                    schedulePass();
                 }
             } catch (final IOException e) {
-                Log.info("cannot read " + one.fileName() + ": " + e.getMessage());
+                Log.info("cannot read " + predecessor.fileName() + ": " + e.getMessage());
             }
         }
     }
 
-    /** While one of them lives, looks often; what is out there without an outcome when it is dead may have run. */
+    /** Polls predecessors while one lives. A dead one's calls without an outcome may have taken effect. */
     private void followPredecessors() {
-        hear();
-        for (final HandoverReader one : List.copyOf(predecessors)) {
+        readPredecessors();
+        for (final HandoverReader predecessor : List.copyOf(predecessors)) {
             try {
-                if (!one.hasBeenDeadFor(DEAD_US)) {
+                if (!predecessor.hasBeenDeadFor(PREDECESSOR_DEAD_US)) {
                     continue;
                 }
-                hear();
-                predecessors.remove(one);
-                one.callsInFlight().forEach(this::cutOff);
-                one.closeAndDelete();
-                journal.recordReadPosition(one.fileName(), Journal.FILE_REMOVED);
-                Log.info("the process before this one has ended, "
-                        + one.callsInFlight().size() + " of its calls cut off");
+                readPredecessors();
+                predecessors.remove(predecessor);
+                predecessor.callsInFlight().forEach(this::interruptAttempt);
+                predecessor.closeAndDelete();
+                journal.recordReadPosition(predecessor.fileName(), Journal.FILE_REMOVED);
+                Log.info("the predecessor process has ended; "
+                        + predecessor.callsInFlight().size() + " of its calls were interrupted");
             } catch (final IOException e) {
-                Log.info("cannot end with " + one.fileName() + ": " + e.getMessage());
+                Log.info("cannot finish reading " + predecessor.fileName() + ": " + e.getMessage());
             }
         }
         if (!predecessors.isEmpty()) {
-            loop.schedule(this::followPredecessors, HEAR_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::followPredecessors, PREDECESSOR_POLL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void cutOff(final String id) {
-        final OpenMessage open = messages.get(id);
-        if (open != null && open.accepted.hasAttemptInFlight()) {
-            journal.endAttempt(open.accepted, false);
+    private void interruptAttempt(final String id) {
+        final OpenMessage message = messages.get(id);
+        if (message != null && message.accepted.hasAttemptInFlight()) {
+            journal.endAttempt(message.accepted, false);
             control.onAttemptInterrupted(clock.nowUs(), id);
-            touch();
+            schedulePass();
         }
     }
 
-    /** What a process that leaves tells. */
-    private final class Heard implements HandoverReader.Events {
+    /** Handles the records of a predecessor process. */
+    private final class PredecessorEvents implements HandoverReader.Events {
         @Override
-        public void onSnapshot(final String host, final Courier.EndpointSnapshot standing) {
+        public void onSnapshot(final String host, final Courier.EndpointSnapshot snapshot) {
             final Long endpoint = discovery.idOf(host);
             if (endpoint != null) {
-                control.onEndpointSnapshot(clock.nowUs(), endpoint, standing);
+                control.onEndpointSnapshot(clock.nowUs(), endpoint, snapshot);
             }
         }
 
         @Override
-        public void onOutcome(final String id, final EndpointClient.AttemptOutcome answer, final long durationUs) {
-            final OpenMessage open = messages.get(id);
-            if (open != null && open.accepted.hasAttemptInFlight()) {
-                settle(open, open.endpoint, answer, durationUs);
+        public void onOutcome(final String id, final EndpointClient.AttemptOutcome outcome, final long durationUs) {
+            final OpenMessage message = messages.get(id);
+            if (message != null && message.accepted.hasAttemptInFlight()) {
+                recordOutcome(message, message.endpoint, outcome, durationUs);
             }
         }
 
         @Override
-        public void onAccepted(final AcceptedMessage held) {
-            if (journal.contains(held.id)) {
+        public void onAccepted(final AcceptedMessage accepted) {
+            if (journal.contains(accepted.id)) {
                 return;
             }
             counters.messageAccepted();
-            if (journal.acceptInherited(held)) {
-                takeUp(held);
+            if (journal.acceptInherited(accepted)) {
+                resumeOrNotify(accepted);
             } else {
-                held.setNotice(new AcceptedMessage.Notice(false, FULL_RETRY_US / US_PER_MS));
-                owe(held);
+                accepted.setNotice(new AcceptedMessage.Notice(false, STORE_FULL_RETRY_US / US_PER_MS));
+                addNotice(accepted);
             }
         }
 
@@ -432,30 +435,31 @@
     }
 
     /**
-     * Another process takes over: from here on nothing is decided or begun here. What is out goes on, and is told,
-     * like what clients still hand in, through the file.
+     * Hands over to a successor process: from now on nothing is decided or started here. Calls in flight continue.
+     * Their outcomes, and messages that clients still submit, are passed on through the file.
      */
     void handOver(final HandoverWriter file) throws IOException {
         unrecordedCalls.cancelUnsent(endpoint -> true);
         journal.flush();
         for (final Courier.Endpoint entry : discovery.entries()) {
-            final Courier.EndpointSnapshot standing = control.snapshot(clock.nowUs(), entry.id());
-            if (!standing.values().isEmpty()) {
-                file.writeSnapshot(discovery.nameOf(entry.id()), standing);
+            final Courier.EndpointSnapshot snapshot = control.snapshot(clock.nowUs(), entry.id());
+            if (!snapshot.values().isEmpty()) {
+                file.writeSnapshot(discovery.nameOf(entry.id()), snapshot);
             }
         }
-        for (final OpenMessage open : messages.values()) {
-            if (open.accepted.hasAttemptInFlight()) {
-                final String there =
-                        open.call == null ? outTo(open.accepted.id) : discovery.nameOf(open.call.endpoint());
-                file.writeCallInFlight(open.accepted.id, there == null ? "" : there);
+        for (final OpenMessage message : messages.values()) {
+            if (message.accepted.hasAttemptInFlight()) {
+                final String endpointName = message.call == null
+                        ? endpointOfInheritedCall(message.accepted.id)
+                        : discovery.nameOf(message.call.endpoint());
+                file.writeCallInFlight(message.accepted.id, endpointName == null ? "" : endpointName);
             }
         }
-        // From here on nothing can fail any more: a process that cannot hand over goes on as before.
-        answer();
+        // Nothing may fail from here on: a process that cannot hand over continues as before.
+        sendAcceptances();
         notices.discard();
         discovery.stopPersisting();
-        leaving = file;
+        handover = file;
         endpointClient.stopNewCalls();
         try {
             journal.close();
@@ -465,54 +469,54 @@
         Log.info("leaves: another process goes on with " + messages.size() + " messages, " + endpointClient.describe());
     }
 
-    /** While it leaves, a message is only handed on; its client is answered once the file has it. */
-    private void handOn(final AcceptedMessage held, final Reply reply) {
-        final Journal.Admission admission = leaving.accept(held);
+    /** During a handover, accepts a message for the successor; its client is answered once the file contains it. */
+    private void acceptForSuccessor(final AcceptedMessage accepted, final Reply reply) {
+        final Journal.Admission admission = handover.accept(accepted);
         if (admission == Journal.Admission.ACCEPTED) {
             counters.messageAccepted();
-            handedOn.add(held.id);
+            acceptedForSuccessor.add(accepted.id);
             reply.accepted();
         } else {
-            notTaken(held, admission, reply);
+            reject(accepted, admission, reply);
         }
     }
 
-    /** Nothing is promised of a message that the next process may find although it could not be taken on. */
-    private void notTaken(final AcceptedMessage held, final Journal.Admission admission, final Reply reply) {
-        countRejected(held.className);
+    /** Rejects a message; reports it as failed if its record may be on disk, where the next process may find it. */
+    private void reject(final AcceptedMessage accepted, final Journal.Admission admission, final Reply reply) {
+        countRejected(accepted.className);
         if (admission == Journal.Admission.UNCERTAIN) {
-            Log.info("message " + held.id + " is answered as failed: its record may have been written");
+            Log.info("message " + accepted.id + " is answered as failed: its record may have been written");
             reply.failed();
         } else {
-            reply.refused(ClientServer.SERVICE_UNAVAILABLE, FULL_RETRY_US);
+            reply.refused(ClientServer.SERVICE_UNAVAILABLE, STORE_FULL_RETRY_US);
         }
     }
 
-    /** Tells the process that takes over; if that fails, it holds for true what it would after a kill. */
-    private void tell(final Told told) {
+    /** Writes a record for the successor. If that fails, the successor assumes the same as after a kill. */
+    private void writeToSuccessor(final HandoverRecord content) {
         try {
-            told.to(leaving);
+            content.writeTo(handover);
         } catch (final IOException e) {
-            Log.info("leaving: cannot write: " + e.getMessage());
+            Log.info("handover: cannot write: " + e.getMessage());
         }
     }
 
-    private interface Told {
-        void to(HandoverWriter file) throws IOException;
+    private interface HandoverRecord {
+        void writeTo(HandoverWriter file) throws IOException;
     }
 
-    private static Courier.Message message(final OpenMessage open, final int index) {
+    private static Courier.Message toCourierMessage(final OpenMessage message, final int index) {
         return new Courier.Message(
-                open.accepted.id,
+                message.accepted.id,
                 index,
                 -1,
-                open.accepted.orderKey,
-                open.validUntilUs,
-                open.accepted.destination,
-                open.ageUncertaintyUs);
+                message.accepted.orderKey,
+                message.validUntilUs,
+                message.accepted.destination,
+                message.ageUncertaintyUs);
     }
 
-    // ---------------------------------------------------------------- what the sockets bring
+    // ---------------------------------------------------------------- events from the sockets
 
     /** The class of that name, or null. */
     Courier.MessageClass messageClass(final String className) {
@@ -520,96 +524,96 @@
         return index == null ? null : config.settings().classes().get(index);
     }
 
-    /** False for a destination that cannot be one. */
+    /** False if the destination cannot exist. */
     boolean isPossibleDestination(final long destination) {
         return discovery.isPossibleDestination(destination);
     }
 
-    /** True while a message of that id is owed its end. */
+    /** True while a message with that id has not ended. */
     boolean hasMessage(final String id) {
-        return messages.containsKey(id) || handedOn.contains(id) || journal != null && journal.contains(id);
+        return messages.containsKey(id) || acceptedForSuccessor.contains(id) || journal != null && journal.contains(id);
     }
 
-    /** Takes a message, if there is room; its reply comes at the end of the pass. */
-    void submit(final AcceptedMessage held, final long validUntilUs, final Reply reply) {
-        if (leaving != null) {
-            handOn(held, reply);
+    /** Accepts a message if there is room; the reply is sent at the end of the pass. */
+    void submit(final AcceptedMessage accepted, final long validUntilUs, final Reply reply) {
+        if (handover != null) {
+            acceptForSuccessor(accepted, reply);
             return;
         }
-        // One of the same key may have been handed in at the process that leaves just before.
-        hear();
+        // The predecessor may just have accepted an earlier message with the same ordering key.
+        readPredecessors();
         final boolean full = messages.size() >= config.settings().limits().maxOpenMessages();
-        final Journal.Admission admission = full ? Journal.Admission.REJECTED : journal.accept(held);
+        final Journal.Admission admission = full ? Journal.Admission.REJECTED : journal.accept(accepted);
         if (admission != Journal.Admission.ACCEPTED) {
-            notTaken(held, admission, reply);
+            reject(accepted, admission, reply);
             return;
         }
-        final int index = classes.get(held.className);
-        final OpenMessage open =
-                new OpenMessage(held, config.settings().classes().get(index), validUntilUs, reply, clock.nowUs());
+        final int index = classes.get(accepted.className);
+        final OpenMessage message =
+                new OpenMessage(accepted, config.settings().classes().get(index), validUntilUs, reply, clock.nowUs());
         counters.messageAccepted();
-        messages.put(held.id, open);
-        unanswered.add(open);
-        control.onMessage(clock.nowUs(), message(open, index));
-        touch();
+        messages.put(accepted.id, message);
+        unconfirmed.add(message);
+        control.onMessage(clock.nowUs(), toCourierMessage(message, index));
+        schedulePass();
     }
 
-    /** What gives descriptors back, if any can. */
-    void onDescriptorShortage(final Runnable relief) {
-        this.relief = relief;
+    /** Sets what frees descriptors when there are none left. */
+    void onDescriptorShortage(final Runnable descriptorRelief) {
+        this.descriptorRelief = descriptorRelief;
     }
 
-    /** No connection could be opened to discovery, to the platform or to an endpoint, as no descriptor is left. */
+    /** Frees descriptors after a connection to discovery, the platform or an endpoint failed for lack of one. */
     void relieveDescriptorShortage() {
         endpointClient.closeOldestIdleConnection();
-        relief.run();
+        descriptorRelief.run();
     }
 
-    /** A client's connection was closed to make room. */
+    /** Counts a client connection that was closed to make room. */
     void connectionShed() {
         counters.connectionShed();
     }
 
-    /** A message of that class is refused at the door. */
+    /** Counts a message of that class that was rejected at admission. */
     void countRejected(final String className) {
         counters.messageRejected();
         metrics.declined(className);
     }
 
     /**
-     * The answer that takes a message on has failed. Only if its client surely did not hear it is the message
-     * dropped: otherwise it is owed its end.
+     * Handles a failed write of the answer that accepts a message. The message is withdrawn only if its client
+     * certainly did not receive the answer; otherwise it continues.
      */
-    void acceptanceFailed(final String id, final Transmission answer) {
-        if (DeliveryRules.mayWithdraw(answer)) {
+    void acceptanceFailed(final String id, final Transmission transmission) {
+        if (DeliveryRules.mayWithdraw(transmission)) {
             withdraw(id);
-        } else if (counters.answerInDoubt() <= MOST_DOUBTS_LOGGED) {
+        } else if (counters.answerInDoubt() <= MAX_IN_DOUBT_LOGGED) {
             Log.info("message " + id + " goes on: its client may have read that it is taken on");
         }
     }
 
-    /** The client went before it was answered: nobody knows of this message, and nobody wants it. */
+    /** Drops a message whose client disconnected before it was answered: nobody was told that it was accepted. */
     void withdraw(final String id) {
-        if (leaving != null) {
-            tell(file -> file.writeWithdrawn(id));
+        if (handover != null) {
+            writeToSuccessor(file -> file.writeWithdrawn(id));
             return;
         }
-        final OpenMessage open = messages.get(id);
-        if (open != null) {
-            forget(open);
+        final OpenMessage message = messages.get(id);
+        if (message != null) {
+            complete(message);
             control.onExpired(clock.nowUs(), id);
-            touch();
+            schedulePass();
         }
     }
 
-    /** The list has changed, or could not be had; the {@link Discovery} says so already. */
+    /** Handles a changed or unavailable list; {@link Discovery} already returns the new state. */
     void listUpdated(final Courier.ListUpdate update, final List<Courier.Endpoint> changed) {
         control.onListUpdate(clock.nowUs(), update, changed);
-        marks.keySet().forEach(this::mark);
-        touch();
+        overrides.keySet().forEach(this::applyOverride);
+        schedulePass();
     }
 
-    /** Where and how an endpoint is called; null for one that the list does not name. */
+    /** Where and how an endpoint is called; null if it is not listed. */
     EndpointClient.Target target(final long endpoint) {
         return discovery.target(endpoint);
     }
@@ -618,241 +622,242 @@
         return endpointClient;
     }
 
-    /** The outcome of one message's part in a call. */
+    /** Handles the outcome of one message of a call. */
     void attemptEnded(
-            final CallItem parcel, final EndpointClient.Call call, final EndpointClient.AttemptOutcome answer) {
-        final OpenMessage open = parcel.message();
-        open.call = null;
-        counters.attemptEnded(answer.result());
-        if (answer.result() == Courier.Result.DELIVERED && !open.over) {
-            metrics.succeeded(open.accepted.className);
+            final CallItem item, final EndpointClient.Call call, final EndpointClient.AttemptOutcome outcome) {
+        final OpenMessage message = item.message();
+        message.call = null;
+        counters.attemptEnded(outcome.result());
+        if (outcome.result() == Courier.Result.DELIVERED && !message.ended) {
+            metrics.succeeded(message.accepted.className);
         }
         final long durationUs = clock.nowUs() - call.sentUs();
-        if (leaving != null) {
-            tell(file -> file.writeOutcome(open.accepted.id, answer, durationUs));
+        if (handover != null) {
+            writeToSuccessor(file -> file.writeOutcome(message.accepted.id, outcome, durationUs));
         } else {
-            settle(open, call.endpoint(), answer, durationUs);
+            recordOutcome(message, call.endpoint(), outcome, durationUs);
         }
     }
 
-    /** A write of a call's request has failed and may have taken effect: its messages may have run. */
+    /** Logs a failed write of a request that may have been sent: its messages may have taken effect. */
     void requestInDoubt(final List<String> ids, final InetSocketAddress to) {
-        if (counters.requestInDoubt() <= MOST_DOUBTS_LOGGED) {
+        if (counters.requestInDoubt() <= MAX_IN_DOUBT_LOGGED) {
             Log.info("call of " + ids + " to " + to + ": a write failed, and the request may have left");
         }
     }
 
-    /** Whether a message's part in a call may be written now, the last time that this is asked. */
-    boolean mayWrite(final CallItem parcel, final EndpointClient.Call call) {
-        final OpenMessage open = parcel.message();
-        if (open.over) {
-            // It has ended while its connection came up.
+    /** Last check, directly before the write, whether a message of a call may be sent now. */
+    boolean mayWrite(final CallItem item, final EndpointClient.Call call) {
+        final OpenMessage message = item.message();
+        if (message.ended) {
+            // The message ended while the connection was being established.
             return false;
         }
         final Optional<Violation> violation = DeliveryRules.violationOf(
                 new DeliveryRules.Attempt(
-                        open.messageClass,
-                        open.accepted.hasAttemptInFlight(),
-                        open.isCurrentCall(call),
+                        message.messageClass,
+                        message.accepted.hasAttemptInFlight(),
+                        message.isCurrentCall(call),
                         mayCall(call.endpoint()),
-                        open.accepted.historyBeforeCurrentAttempt(clock),
+                        message.accepted.historyBeforeCurrentAttempt(clock),
                         discovery.zone(call.endpoint())),
                 clock.nowUs());
-        violation.ifPresent(rule -> violated(rule, open.accepted.id));
+        violation.ifPresent(rule -> recordViolation(rule, message.accepted.id));
         return violation.isEmpty();
     }
 
-    private void violated(final Violation rule, final String what) {
+    private void recordViolation(final Violation rule, final String subject) {
         rules.count(rule);
-        Log.info("violation prevented: " + rule + ", " + what + "; " + rules.counts());
+        Log.info("violation prevented: " + rule + ", " + subject + "; " + rules.counts());
     }
 
-    /** An answer told to wait: that binds whether or not a message still hangs on it. */
+    /** Handles a retry-after in a response; it applies whether or not the response still belongs to a message. */
     void onRetryAfter(final long endpoint, final long waitUs) {
-        if (leaving == null) {
-            final Courier.Endpoint told = discovery.endpoint(endpoint);
-            if (told != null) {
-                unrecordedCalls.cancelUnsent(other -> isOf(told.destination(), other));
+        if (handover == null) {
+            final Courier.Endpoint source = discovery.endpoint(endpoint);
+            if (source != null) {
+                unrecordedCalls.cancelUnsent(candidate -> isOfDestination(source.destination(), candidate));
             }
             control.onRetryAfter(clock.nowUs(), endpoint, waitUs);
-            touch();
+            schedulePass();
         }
     }
 
-    /** A message is out no more, here or at the process before this one. */
-    private void settle(
-            final OpenMessage open,
+    /** Records the outcome of a message's attempt, here or in the predecessor process. */
+    private void recordOutcome(
+            final OpenMessage message,
             final long endpoint,
-            final EndpointClient.AttemptOutcome answer,
+            final EndpointClient.AttemptOutcome outcome,
             final long durationUs) {
-        open.lastResult = answer.result();
-        final boolean delivered = answer.result() == Courier.Result.DELIVERED;
-        if (!open.over) {
+        message.lastResult = outcome.result();
+        final boolean delivered = outcome.result() == Courier.Result.DELIVERED;
+        if (!message.ended) {
             if (delivered) {
-                forget(open);
-            } else if (answer.isFinal()) {
-                // If that is true the notice does no harm; if an endpoint errs, the message would have no end.
-                journal.endAttempt(open.accepted, true);
-                end(open, new AcceptedMessage.Notice(true, 0));
+                complete(message);
+            } else if (outcome.isFinal()) {
+                // Harmless if the endpoint is right that the message is over; if it errs, the message still needs an
+                // end.
+                journal.endAttempt(message.accepted, true);
+                endWithNotice(message, new AcceptedMessage.Notice(true, 0));
             } else {
-                journal.endAttempt(open.accepted, answer.result().hadNoEffect());
+                journal.endAttempt(message.accepted, outcome.result().hadNoEffect());
             }
         }
         control.onOutcome(
                 clock.nowUs(),
                 new Courier.Outcome(
-                        open.accepted.id,
-                        answer.result(),
-                        open.over,
+                        message.accepted.id,
+                        outcome.result(),
+                        message.ended,
                         endpoint,
                         durationUs,
-                        answer.retryAfterUs(),
-                        answer.reportedLimit()));
-        touch();
+                        outcome.retryAfterUs(),
+                        outcome.reportedLimit()));
+        schedulePass();
     }
 
-    /** The platform has confirmed these notices. */
+    /** Handles notices that the platform has confirmed. */
     void noticesConfirmed(final List<AcceptedMessage> confirmed) {
-        if (leaving != null) {
+        if (handover != null) {
             return;
         }
-        for (final AcceptedMessage held : confirmed) {
-            journal.complete(held);
-            if (out.contains(held.id)) {
-                answered.put(held.id, held);
+        for (final AcceptedMessage accepted : confirmed) {
+            journal.complete(accepted);
+            if (endedInCall.contains(accepted.id)) {
+                confirmedInCall.put(accepted.id, accepted);
             } else {
-                freeKey(held);
+                releaseKey(accepted);
             }
         }
-        touch();
+        schedulePass();
     }
 
-    private void freeKey(final AcceptedMessage held) {
-        if (held.orderKey != null) {
-            control.onNoticeAnswered(clock.nowUs(), held.id, held.orderKey);
+    private void releaseKey(final AcceptedMessage accepted) {
+        if (accepted.orderKey != null) {
+            control.onNoticeAnswered(clock.nowUs(), accepted.id, accepted.orderKey);
         }
     }
 
-    /** A message ends while the call that it shares goes on: until that is over too, its key is not free. */
-    void remainsInCall(final CallItem parcel) {
-        out.add(parcel.message().accepted.id);
+    /** A message ends while the call that it shares continues: its ordering key stays blocked until that ends too. */
+    void remainsInCall(final CallItem item) {
+        endedInCall.add(item.message().accepted.id);
     }
 
-    /** That call is over. */
-    void callEnded(final CallItem parcel) {
-        final String id = parcel.message().accepted.id;
-        out.remove(id);
-        final AcceptedMessage held = answered.remove(id);
-        if (held != null) {
-            freeKey(held);
-            touch();
+    /** The call of a message that ended earlier is over. */
+    void callEnded(final CallItem item) {
+        final String id = item.message().accepted.id;
+        endedInCall.remove(id);
+        final AcceptedMessage accepted = confirmedInCall.remove(id);
+        if (accepted != null) {
+            releaseKey(accepted);
+            schedulePass();
         }
     }
 
-    // ---------------------------------------------------------------- the pass
+    // ---------------------------------------------------------------- decision pass
 
-    /** Runs a task at once, or after a pause of the process once the sockets have been read. */
+    /** Runs a task at once or, after a stall of the event loop, once the sockets have been read. */
     void afterSocketReads(final Runnable task) {
-        stalls.afterSocketReads(task);
+        stallDetector.afterSocketReads(task);
     }
 
-    /** Lets the decisions be made once all that this pass of the loop brought has been told. */
-    private void touch() {
-        if (!passDue) {
-            passDue = true;
-            loop.execute(() -> stalls.afterSocketReads(this::pass));
+    /** Schedules the decisions behind all events of this pass of the event loop. */
+    private void schedulePass() {
+        if (!passScheduled) {
+            passScheduled = true;
+            loop.execute(() -> stallDetector.afterSocketReads(this::pass));
         }
     }
 
     private void pass() {
-        passDue = false;
-        if (journal == null || leaving != null) {
+        passScheduled = false;
+        if (journal == null || handover != null) {
             return;
         }
         if (!holdsLock.getAsBoolean()) {
-            violated(Violation.DECISION_WITHOUT_LOCK, config.name());
+            recordViolation(Violation.DECISION_WITHOUT_LOCK, config.name());
             return;
         }
-        hear();
+        readPredecessors();
         try {
             control.decide(clock.nowUs());
         } catch (final RuntimeException e) {
             Log.failure("decisions failed", e);
         }
-        answer();
-        sendDecided();
+        sendAcceptances();
+        sendOutbox();
         notices.flush();
     }
 
-    /** What was taken and not ended in the same pass is taken on. */
-    private void answer() {
-        final List<OpenMessage> due = List.copyOf(unanswered);
-        unanswered.clear();
-        for (final OpenMessage open : due) {
-            if (open.reply != null && !open.over) {
-                final Reply reply = open.reply;
-                open.reply = null;
-                acceptOrLog(open.accepted.id, reply);
+    /** Confirms the messages of this pass to their clients, unless they ended in it. */
+    private void sendAcceptances() {
+        final List<OpenMessage> due = List.copyOf(unconfirmed);
+        unconfirmed.clear();
+        for (final OpenMessage message : due) {
+            if (message.reply != null && !message.ended) {
+                final Reply reply = message.reply;
+                message.reply = null;
+                acceptOrLog(message.accepted.id, reply);
             }
         }
     }
 
-    /** An answer that cannot be written must not keep the others from theirs. */
+    /** Logs a failure to answer, so that the other clients still get their answers. */
     private static void acceptOrLog(final String id, final Reply reply) {
         try {
             reply.accepted();
         } catch (final RuntimeException e) {
-            Log.failure("message " + id + " is taken on, its client cannot be answered", e);
+            Log.failure("message " + id + " is accepted, but its client cannot be answered", e);
         }
     }
 
-    /** Each decision is carried out once, whatever becomes of the others. */
-    private void sendDecided() {
+    /** Sends what was decided. The outbox is cleared first, so that each decision is carried out only once. */
+    private void sendOutbox() {
         final Map<Long, List<CallItem>> decided = new LinkedHashMap<>(outbox);
         outbox.clear();
-        decided.forEach(this::sendAll);
+        decided.forEach(this::sendInCalls);
     }
 
-    private void sendAll(final long endpoint, final List<CallItem> decided) {
-        final List<CallItem> parcels = new ArrayList<>(decided);
-        // Its client went while it was being answered: nobody wants it, and the same client may hand it in elsewhere.
-        parcels.removeIf(this::isWithdrawn);
-        final int most = Math.max(1, discovery.messagesPerCall(endpoint));
-        for (int from = 0; from < parcels.size(); from += most) {
-            send(endpoint, List.copyOf(parcels.subList(from, Math.min(parcels.size(), from + most))));
+    private void sendInCalls(final long endpoint, final List<CallItem> decided) {
+        final List<CallItem> items = new ArrayList<>(decided);
+        // Skip messages whose client disconnected while being answered: it may submit them elsewhere.
+        items.removeIf(this::reportNotSentIfEnded);
+        final int maxPerCall = Math.max(1, discovery.messagesPerCall(endpoint));
+        for (int from = 0; from < items.size(); from += maxPerCall) {
+            send(endpoint, List.copyOf(items.subList(from, Math.min(items.size(), from + maxPerCall))));
         }
     }
 
-    /** One call. Until it is started nothing of it can have left, so a failure before that is told as not sent. */
-    private void send(final long endpoint, final List<CallItem> parcels) {
-        final EndpointClient.Call call = endpointClient.prepareCall(endpoint, parcels);
+    /** Makes one call. Nothing is transmitted before it is started, so an earlier failure counts as not sent. */
+    private void send(final long endpoint, final List<CallItem> items) {
+        final EndpointClient.Call call = endpointClient.prepareCall(endpoint, items);
         final boolean recorded;
         try {
-            for (final CallItem parcel : parcels) {
-                parcel.message().assignCall(call);
-                parcel.message().firstSentUs =
-                        parcel.message().firstSentUs == 0 ? clock.nowUs() : parcel.message().firstSentUs;
+            for (final CallItem item : items) {
+                item.message().assignCall(call);
+                item.message().firstSentUs =
+                        item.message().firstSentUs == 0 ? clock.nowUs() : item.message().firstSentUs;
             }
-            recorded = recordAttempts(endpoint, parcels);
+            recorded = recordAttempts(endpoint, items);
         } catch (final RuntimeException e) {
-            Log.failure("a call cannot be recorded", e);
+            Log.failure("the attempts of a call cannot be recorded", e);
             endpointClient.abandonCall(call, Courier.Result.NOT_SENT);
             return;
         }
         if (recorded) {
             endpointClient.startCall(call);
         } else {
-            // An attempt that the journal does not know of would be forgotten by a restart.
-            unrecordedCalls.add(endpoint, parcels, call);
+            // A restart would lose an attempt that is not in the journal.
+            unrecordedCalls.add(endpoint, items, call);
         }
     }
 
-    private boolean recordAttempts(final long endpoint, final List<CallItem> parcels) {
+    private boolean recordAttempts(final long endpoint, final List<CallItem> items) {
         boolean recorded = true;
-        for (final CallItem parcel : parcels) {
-            final AcceptedMessage held = parcel.message().accepted;
-            recorded &= held.hasAttemptInFlight()
-                    || journal.beginAttempt(held, clock.persistentUs(), discovery.zone(endpoint));
+        for (final CallItem item : items) {
+            final AcceptedMessage accepted = item.message().accepted;
+            recorded &= accepted.hasAttemptInFlight()
+                    || journal.beginAttempt(accepted, clock.persistentUs(), discovery.zone(endpoint));
         }
         return recorded;
     }
@@ -861,70 +866,70 @@
         final Courier.Endpoint entry = discovery.endpoint(endpoint);
         return entry != null
                 && entry.condition() == Courier.Condition.LISTED
-                && !Objects.equals(marks.get(discovery.nameOf(endpoint)), OperatorOverrides.DISABLED);
+                && !Objects.equals(overrides.get(discovery.nameOf(endpoint)), OperatorOverrides.DISABLED);
     }
 
-    private boolean isOf(final long destination, final long endpoint) {
+    private boolean isOfDestination(final long destination, final long endpoint) {
         final Courier.Endpoint entry = discovery.endpoint(endpoint);
         return entry == null || entry.destination() == destination;
     }
 
-    private boolean isWithdrawn(final CallItem parcel) {
-        if (parcel.message().over) {
+    private boolean reportNotSentIfEnded(final CallItem item) {
+        if (item.message().ended) {
             control.onOutcome(
                     clock.nowUs(),
-                    new Courier.Outcome(parcel.message().accepted.id, Courier.Result.NOT_SENT, true, 0, 0, 0, null));
-            touch();
+                    new Courier.Outcome(item.message().accepted.id, Courier.Result.NOT_SENT, true, 0, 0, 0, null));
+            schedulePass();
         }
-        return parcel.message().over;
+        return item.message().ended;
     }
 
-    // ---------------------------------------------------------------- what the decisions ask for
+    // ---------------------------------------------------------------- actions of the decisions
 
     @Override
     public void send(final String messageId, final long endpoint, final long timeoutUs) {
-        final OpenMessage open = messages.get(messageId);
-        if (open != null) {
+        final OpenMessage message = messages.get(messageId);
+        if (message != null) {
             outbox.computeIfAbsent(endpoint, unused -> new ArrayList<>())
-                    .add(new CallItem(open, timeoutUs, writeByUs(open)));
+                    .add(new CallItem(message, timeoutUs, writeDeadlineUs(message)));
         }
     }
 
     /**
-     * A repeat of a keyed message is sent while its key is remembered: it was decided so, but its connection may
-     * come up later than that. So long before the end of the window nothing is written any more: it is still on its
-     * way then.
+     * Until when a message may be written. A keyed message is sent again only while the destination remembers its
+     * key. That held at the decision, but the connection may take longer to be established. The margin before the end
+     * of the deduplication window is for the time on the network.
      */
-    private long writeByUs(final OpenMessage open) {
-        final long firstPersistentUs = open.accepted.firstEffectPersistentUs();
-        if (open.messageClass.effect() != Courier.Effect.KEYED || firstPersistentUs == AcceptedMessage.NEVER) {
+    private long writeDeadlineUs(final OpenMessage message) {
+        final long firstPersistentUs = message.accepted.firstEffectPersistentUs();
+        if (message.messageClass.effect() != Courier.Effect.KEYED || firstPersistentUs == AcceptedMessage.NEVER) {
             return AcceptedMessage.NEVER;
         }
         return clock.fromPersistentUs(firstPersistentUs)
-                + (long) ((1 - KEY_MARGIN) * open.messageClass.dedupWindowUs());
+                + (long) ((1 - DEDUP_WINDOW_MARGIN) * message.messageClass.dedupWindowUs());
     }
 
     @Override
     public void refuse(final String messageId, final long retryAfterUs) {
-        final OpenMessage open = messages.get(messageId);
-        if (open == null) {
+        final OpenMessage message = messages.get(messageId);
+        if (message == null) {
             return;
         }
-        if (!DeliveryRules.mayRefuse(open.messageClass, open.accepted.mayHaveTakenEffect())) {
-            violated(Violation.REFUSAL_AFTER_RUN, messageId);
+        if (!DeliveryRules.mayRefuse(message.messageClass, message.accepted.mayHaveTakenEffect())) {
+            recordViolation(Violation.REFUSAL_AFTER_RUN, messageId);
             fail(messageId);
             return;
         }
-        if (open.reply == null) {
-            end(open, new AcceptedMessage.Notice(false, retryAfterUs / US_PER_MS));
+        if (message.reply == null) {
+            endWithNotice(message, new AcceptedMessage.Notice(false, retryAfterUs / US_PER_MS));
         } else {
-            final Reply reply = open.reply;
-            final boolean recorded = forget(open);
-            ended(open, new AcceptedMessage.Notice(false, retryAfterUs / US_PER_MS));
+            final Reply reply = message.reply;
+            final boolean recorded = complete(message);
+            recordUndelivered(message, new AcceptedMessage.Notice(false, retryAfterUs / US_PER_MS));
             if (recorded) {
                 reply.refused(ClientServer.TOO_MANY_REQUESTS, retryAfterUs);
             } else {
-                // The next process would go on with it.
+                // After a restart the message would continue.
                 reply.failed();
             }
         }
@@ -932,115 +937,117 @@
 
     @Override
     public void fail(final String messageId) {
-        final OpenMessage open = messages.get(messageId);
-        if (open == null) {
+        final OpenMessage message = messages.get(messageId);
+        if (message == null) {
             return;
         }
-        if (open.reply == null) {
-            end(open, new AcceptedMessage.Notice(true, 0));
+        if (message.reply == null) {
+            endWithNotice(message, new AcceptedMessage.Notice(true, 0));
         } else {
-            final Reply reply = open.reply;
-            forget(open);
-            ended(open, new AcceptedMessage.Notice(true, 0));
+            final Reply reply = message.reply;
+            complete(message);
+            recordUndelivered(message, new AcceptedMessage.Notice(true, 0));
             reply.failed();
         }
     }
 
-    /** Ends a message that was taken on by a notice; the journal holds the notice until it is confirmed. */
-    private void end(final OpenMessage open, final AcceptedMessage.Notice notice) {
-        open.over = true;
-        messages.remove(open.accepted.id);
-        if (journal.recordNotice(open.accepted, notice)) {
-            notices.add(open.accepted);
+    /** Ends an accepted message with a notice, which the journal keeps until it is confirmed. */
+    private void endWithNotice(final OpenMessage message, final AcceptedMessage.Notice notice) {
+        message.ended = true;
+        messages.remove(message.accepted.id);
+        if (journal.recordNotice(message.accepted, notice)) {
+            notices.add(message.accepted);
         } else {
-            unrecorded.add(open);
+            unrecordedNotices.add(message);
         }
-        blockKey(open.accepted);
-        ended(open, notice);
+        blockKey(message.accepted);
+        recordUndelivered(message, notice);
     }
 
-    /** A notice is due; a key's next message waits until it is answered. */
-    private void owe(final AcceptedMessage held) {
-        notices.add(held);
-        blockKey(held);
+    /** Sends a notice; the next message with the same ordering key waits until it is confirmed. */
+    private void addNotice(final AcceptedMessage accepted) {
+        notices.add(accepted);
+        blockKey(accepted);
     }
 
-    private void blockKey(final AcceptedMessage held) {
-        if (held.orderKey != null) {
-            control.onNoticePending(clock.nowUs(), held.id, held.orderKey);
+    private void blockKey(final AcceptedMessage accepted) {
+        if (accepted.orderKey != null) {
+            control.onNoticePending(clock.nowUs(), accepted.id, accepted.orderKey);
         }
     }
 
     /**
-     * Records what waited for the folder. An end that is not recorded is told once the message's time is up: until
-     * then a kill would make the next process go on with the message.
+     * Retries failed journal writes. An unrecorded notice is sent only after its message's deadline: until then the
+     * next process would continue with the message after a kill.
      */
     private void flushJournal() {
         final boolean recorded = journal.flush();
         unrecordedCalls.retry();
-        if (unrecorded.isEmpty()) {
+        if (unrecordedNotices.isEmpty()) {
             return;
         }
-        final List<OpenMessage> due = unrecorded.stream()
-                .filter(open -> recorded || clock.nowUs() >= open.latestEndUs())
+        final List<OpenMessage> due = unrecordedNotices.stream()
+                .filter(message -> recorded || clock.nowUs() >= message.latestEndUs())
                 .toList();
-        unrecorded.removeAll(due);
-        due.forEach(open -> notices.add(open.accepted));
+        unrecordedNotices.removeAll(due);
+        due.forEach(message -> notices.add(message.accepted));
         notices.flush();
     }
 
-    /** A message that was not delivered is worth a line: what became of it, and how its destination stood. */
-    private void ended(final OpenMessage open, final AcceptedMessage.Notice notice) {
+    /** Counts and logs a message that was not delivered, with the state of its destination. */
+    private void recordUndelivered(final OpenMessage message, final AcceptedMessage.Notice notice) {
         final long nowUs = clock.nowUs();
-        final AcceptedMessage held = open.accepted;
+        final AcceptedMessage accepted = message.accepted;
         counters.messageEndedUndelivered();
         if (notice.failed()) {
-            metrics.aborted(held.className);
+            metrics.aborted(accepted.className);
         } else {
-            metrics.declined(held.className);
-        }
-        final String how = notice.failed() ? "failed" : "refused, again in " + notice.retryAfterMs() + " ms";
-        Log.info("message " + held.id + " " + held.className + " to " + held.destination + " " + how + ": after "
-                + (nowUs - open.sinceUs) / US_PER_MS + " ms, " + (open.validUntilUs - nowUs) / US_PER_MS + " ms left, "
-                + held.attempts() + " attempts"
-                + (open.firstSentUs == 0
+            metrics.declined(accepted.className);
+        }
+        final String ending = notice.failed() ? "failed" : "refused, again in " + notice.retryAfterMs() + " ms";
+        Log.info("message " + accepted.id + " " + accepted.className + " to " + accepted.destination + " " + ending
+                + ": after "
+                + (nowUs - message.arrivedUs) / US_PER_MS + " ms, " + (message.validUntilUs - nowUs) / US_PER_MS
+                + " ms left, "
+                + accepted.attempts() + " attempts"
+                + (message.firstSentUs == 0
                         ? ""
-                        : ", first after " + (open.firstSentUs - open.sinceUs) / US_PER_MS + " ms, last "
-                                + open.lastResult)
+                        : ", first after " + (message.firstSentUs - message.arrivedUs) / US_PER_MS + " ms, last "
+                                + message.lastResult)
                 + "; "
-                + control.describe(held.destination));
+                + control.describe(accepted.destination));
     }
 
-    /** Every few seconds, what came and went. */
-    private void report() {
+    /** Logs the counters, every few seconds. */
+    private void logReport() {
         Log.info(counters.summarizeAndReset() + "; open " + messages.size() + ", " + endpointClient.describe()
                 + ", violations prevented " + rules.total());
     }
 
-    private void count() {
-        // Whoever owns the journal counts what is held: this process no more once it leaves.
-        metrics.setOutstanding(leaving == null ? messages.size() : 0);
+    private void updateGauges() {
+        // Open messages are counted by the process that owns the journal: not by this one after a handover.
+        metrics.setOutstanding(handover == null ? messages.size() : 0);
         metrics.setEndpoints(discovery.endpointCount(), control.avoidedEndpoints(clock.nowUs()));
     }
 
-    /** The numbers, which any thread may read. */
+    /** The metrics, which any thread may read. */
     Metrics metrics() {
         return metrics;
     }
 
-    /** Nothing is owed for a message any more; false while the journal could not record that. */
-    private boolean forget(final OpenMessage open) {
-        open.over = true;
-        open.reply = null;
-        messages.remove(open.accepted.id);
-        return journal.complete(open.accepted);
+    /** Completes a message that needs no notice; false if the journal could not record it. */
+    private boolean complete(final OpenMessage message) {
+        message.ended = true;
+        message.reply = null;
+        messages.remove(message.accepted.id);
+        return journal.complete(message.accepted);
     }
 
     @Override
     public void cancel(final String messageId, final int attempt) {
-        final OpenMessage open = messages.get(messageId);
-        if (open != null && open.call != null) {
-            final EndpointClient.Call call = open.call;
+        final OpenMessage message = messages.get(messageId);
+        if (message != null && message.call != null) {
+            final EndpointClient.Call call = message.call;
             loop.execute(() -> endpointClient.abandonCall(call, Courier.Result.CANCELLED));
         }
     }
@@ -1057,28 +1064,28 @@
 
     @Override
     public void wakeAfter(final long delayUs) {
-        loop.schedule(this::touch, delayUs, TimeUnit.MICROSECONDS);
+        loop.schedule(this::schedulePass, delayUs, TimeUnit.MICROSECONDS);
     }
 
-    // ---------------------------------------------------------------- reload and the end of the process
+    // ---------------------------------------------------------------- reload and shutdown
 
-    /** The configuration has been read again: discovery may have moved. The settings hold from start to end. */
+    /** Applies a new address of discovery. All other settings stay as they were at the start. */
     void reload(final Config fresh) {
         Log.info("reload: discovery is at " + fresh.discovery());
         discovery.moveTo(fresh.discovery());
         notices.moveTo(fresh.discovery());
     }
 
-    /** This process ends at that moment: nothing is begun that cannot end by then. */
+    /** Announces the end of this process: no call is started that cannot end by {@code stopUs}. */
     void stopping(final long stopUs) {
         control.onStopping(clock.nowUs(), stopUs);
-        touch();
+        schedulePass();
     }
 
-    /** True when nothing is under way that the end of the process would cut off. */
+    /** True when the end of the process would interrupt nothing. */
     boolean isIdle() {
-        return leaving == null
-                ? messages.isEmpty() && unrecorded.isEmpty() && notices.isEmpty()
+        return handover == null
+                ? messages.isEmpty() && unrecordedNotices.isEmpty() && notices.isEmpty()
                 : endpointClient.hasNoCalls();
     }
 }
--- a/src/main/java/railspar/node/MillisecondTimerLoopGroup.java
+++ b/src/main/java/railspar/node/MillisecondTimerLoopGroup.java
@@ -10,10 +10,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One event loop that waits whole milliseconds, rounded up, for its next timer. A selector cannot wait for less, and
- * Netty, left alone, asks it without end through the last half of one: up to half a millisecond of the processor for
- * each timer, and far more where a courier has a small share of a core. A timer is up to a millisecond late instead.
- * An error in a task ends the process, as {@link FatalError} tells.
+ * One event loop that rounds the wait for its next timer up to whole milliseconds. A selector cannot wait for a
+ * fraction of a millisecond, and Netty by default busy-polls through the last half of one. That costs up to half a
+ * millisecond of processor time per timer, and far more where the courier has a small share of a core. With the
+ * rounding a timer is up to a millisecond late instead. An error in a task ends the process; see {@link FatalError}.
  */
 final class MillisecondTimerLoopGroup extends MultiThreadIoEventLoopGroup {
     private static final long NS_PER_MS = TimeUnit.MILLISECONDS.toNanos(1);
@@ -48,7 +48,7 @@
         };
     }
 
-    /** Rounded up to whole milliseconds; what is due already stays so. */
+    /** Rounds up to whole milliseconds; the delay of a timer that is already due is unchanged. */
     static long roundUpToMs(final long ns) {
         return ns <= 0 || ns > Long.MAX_VALUE - NS_PER_MS ? ns : (ns + NS_PER_MS - 1) / NS_PER_MS * NS_PER_MS;
     }
--- a/src/main/java/railspar/node/StallDetector.java
+++ b/src/main/java/railspar/node/StallDetector.java
@@ -5,34 +5,34 @@
 import java.util.function.LongSupplier;
 
 /**
- * Tells that the event loop has stood still and has not read its sockets since: the process had no core or was
- * stopped. What peers have written meanwhile, as that an endpoint drains, holds already, so nothing new is sent
- * until the next pass over the sockets is done. Used on the event loop.
+ * Detects that the event loop has stalled and has not read its sockets since, because the process had no core or was
+ * stopped. What peers wrote meanwhile, for example that an endpoint drains, already applies. So nothing new is sent
+ * until the sockets have been read. Used on the event loop.
  */
 final class StallDetector {
     private static final long TICK_MS = 50;
-    /** A drain binds after 250 ms: a shorter pause cannot make a send come too late. */
+    /** A drain must be obeyed after 250 ms: a pause shorter than this cannot make a send too late. */
     static final long STALL_US = 200_000;
-    /** A task that is due so much later runs behind the next pass over the sockets. */
-    private static final long AFTER_READING_MS = 2;
+    /** A task with this delay runs after the next read of the sockets. */
+    private static final long SOCKET_READ_DELAY_MS = 2;
 
     private final LongSupplier nowUs;
-    private final Scheduler later;
-    private long tickedUs;
+    private final Scheduler scheduler;
+    private long lastTickUs;
     private boolean stalled;
 
-    /** Runs a task on the event loop after so many milliseconds. */
+    /** Runs a task on the event loop after a delay. */
     interface Scheduler {
         void run(Runnable task, long delayMs);
     }
 
-    StallDetector(final LongSupplier nowUs, final Scheduler later) {
+    StallDetector(final LongSupplier nowUs, final Scheduler scheduler) {
         this.nowUs = nowUs;
-        this.later = later;
-        this.tickedUs = nowUs.getAsLong();
+        this.scheduler = scheduler;
+        this.lastTickUs = nowUs.getAsLong();
     }
 
-    /** A detector for this loop that has begun to tick. */
+    /** Creates a detector for an event loop and starts its ticks. */
     static StallDetector start(final EventLoop loop, final Clock clock) {
         final StallDetector detector =
                 new StallDetector(clock::nowUs, (task, delayMs) -> loop.schedule(task, delayMs, TimeUnit.MILLISECONDS));
@@ -41,34 +41,34 @@
     }
 
     private void tick() {
-        look();
-        tickedUs = nowUs.getAsLong();
+        checkForStall();
+        lastTickUs = nowUs.getAsLong();
     }
 
-    /** True where the loop stood still and has not read its sockets since. */
+    /** True if the loop stalled and has not read its sockets since. */
     boolean isStalled() {
-        look();
+        checkForStall();
         return stalled;
     }
 
-    private void look() {
-        final long pausedUs = nowUs.getAsLong() - tickedUs;
-        if (!stalled && pausedUs > STALL_US) {
+    private void checkForStall() {
+        final long sinceTickUs = nowUs.getAsLong() - lastTickUs;
+        if (!stalled && sinceTickUs > STALL_US) {
             stalled = true;
-            Log.info("the event loop stood still for " + pausedUs + " us");
-            later.run(this::read, AFTER_READING_MS);
+            Log.info("the event loop stood still for " + sinceTickUs + " us");
+            scheduler.run(this::onSocketsRead, SOCKET_READ_DELAY_MS);
         }
     }
 
-    private void read() {
-        tickedUs = nowUs.getAsLong();
+    private void onSocketsRead() {
+        lastTickUs = nowUs.getAsLong();
         stalled = false;
     }
 
-    /** Runs a task once the sockets have been read; at once, unless the loop stood still. */
+    /** Runs a task once the sockets have been read: at once, unless the loop stalled. */
     void afterSocketReads(final Runnable task) {
         if (isStalled()) {
-            later.run(task, AFTER_READING_MS);
+            scheduler.run(task, SOCKET_READ_DELAY_MS);
         } else {
             task.run();
         }
--- a/src/main/java/railspar/node/TrackedServerSocketChannel.java
+++ b/src/main/java/railspar/node/TrackedServerSocketChannel.java
@@ -8,10 +8,10 @@
 
 /** A listening socket whose connections are {@link TrackedSocketChannel}s. */
 final class TrackedServerSocketChannel extends NioServerSocketChannel {
-    /** A socket that is to be bound. */
+    /** Creates an unbound socket. */
     TrackedServerSocketChannel() {}
 
-    /** A socket that listens already. */
+    /** Wraps a socket that is already listening. */
     TrackedServerSocketChannel(final ServerSocketChannel listening) {
         super(listening);
     }
@@ -27,8 +27,8 @@
             return 1;
         } catch (final RuntimeException e) {
             closeQuietly(socket);
-            // Any other kind would close the listening socket too.
-            throw new IOException("an accepted connection cannot be set up", e);
+            // Any other exception type would close the listening socket too.
+            throw new IOException("cannot set up an accepted connection", e);
         }
     }
 
@@ -36,7 +36,7 @@
         try {
             socket.close();
         } catch (final IOException e) {
-            Log.info("an accepted connection cannot be closed: " + e.getMessage());
+            Log.info("cannot close an accepted connection after its setup failed: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/railspar/node/TrackedSocketChannel.java
+++ b/src/main/java/railspar/node/TrackedSocketChannel.java
@@ -8,42 +8,42 @@
 import railspar.DeliveryRules.Transmission;
 
 /**
- * A connection that knows whether a write on its socket was tried, and whether one failed. The framework closes a
- * connection on a failed write and fails what was queued, whether or not the socket had taken it.
+ * A connection that counts the writes tried on its socket and remembers whether one failed. Netty closes a connection
+ * after a failed write and fails everything that was queued, whether or not the socket had taken it.
  */
 final class TrackedSocketChannel extends NioSocketChannel {
-    private long writes;
+    private long writeCount;
     private boolean writeFailed;
 
-    /** A connection that is to be opened. */
+    /** Creates an unconnected channel. */
     TrackedSocketChannel() {}
 
-    /** A connection that a listening socket has accepted. */
+    /** Wraps a connection that a listening socket has accepted. */
     TrackedSocketChannel(final Channel parent, final SocketChannel socket) {
         super(parent, socket);
     }
 
-    /** Writes tried so far. */
+    /** The number of writes tried so far. */
     long writeCount() {
-        return writes;
+        return writeCount;
     }
 
     /**
-     * What is known of a message that was queued when so many writes had been tried, and of which the socket has not
-     * taken all: parts that it did take, without a failure, do not make it whole.
+     * Whether data that was queued after {@code writeCountBefore} writes may have been sent as a whole, given that the
+     * socket has not reported all of it as written. Parts that were written without a failure do not make it whole.
      */
-    Transmission transmissionOfUnfinished(final long writesBefore) {
-        return writeFailed && writes > writesBefore ? Transmission.IN_DOUBT : Transmission.NOT_SENT;
+    Transmission transmissionOfUnfinished(final long writeCountBefore) {
+        return writeFailed && writeCount > writeCountBefore ? Transmission.IN_DOUBT : Transmission.NOT_SENT;
     }
 
-    /** As above where a part of the message is enough to be understood. */
-    Transmission transmissionOfAnyPart(final long writesBefore) {
-        return writes > writesBefore ? Transmission.IN_DOUBT : Transmission.NOT_SENT;
+    /** Like {@link #transmissionOfUnfinished}, for data of which the peer can understand a part. */
+    Transmission transmissionOfAnyPart(final long writeCountBefore) {
+        return writeCount > writeCountBefore ? Transmission.IN_DOUBT : Transmission.NOT_SENT;
     }
 
     @Override
     protected void doWrite(final ChannelOutboundBuffer queued) throws Exception {
-        writes++;
+        writeCount++;
         try {
             super.doWrite(queued);
         } catch (final IOException | RuntimeException e) {
--- a/src/main/java/railspar/node/UnrecordedCalls.java
+++ b/src/main/java/railspar/node/UnrecordedCalls.java
@@ -6,43 +6,43 @@
 import railspar.Courier;
 
 /**
- * Calls that were decided while the journal could not record their attempts. They are begun as soon as it can: each
- * attempt that is told as not sent counts as one of the few that a message has. A call is told as not sent once its
- * time-out or a message's time is up, or its endpoint may not be called any more.
+ * Calls that were decided while the journal could not record their attempts. They wait and are started once it can,
+ * because each attempt that is reported as not sent uses up one of a message's few attempts. A call is reported as not
+ * sent when its timeout or the time of one of its messages has passed, or when its endpoint may no longer be called.
  */
 final class UnrecordedCalls {
     private final Clock clock;
     private final EndpointClient endpoints;
     private final Recorder recorder;
     private final LongPredicate mayCall;
-    private final List<Waiting> waiting = new ArrayList<>();
+    private final List<WaitingCall> waiting = new ArrayList<>();
 
     /** Records the attempts of a call. */
     interface Recorder {
-        /** False while the journal cannot; those that it could stay recorded. */
-        boolean record(long endpoint, List<MessageService.CallItem> parcels);
+        /** False if the journal could not record all of them; those that it did record stay recorded. */
+        boolean record(long endpoint, List<MessageService.CallItem> items);
     }
 
-    private record Waiting(long endpoint, List<MessageService.CallItem> parcels, EndpointClient.Call call) {
-        /** Its messages that still wait for this call. */
-        List<MessageService.CallItem> open() {
-            return parcels.stream()
-                    .filter(parcel -> parcel.message().isCurrentCall(call))
+    private record WaitingCall(long endpoint, List<MessageService.CallItem> items, EndpointClient.Call call) {
+        /** The messages that still wait for this call. */
+        List<MessageService.CallItem> openItems() {
+            return items.stream()
+                    .filter(item -> item.message().isCurrentCall(call))
                     .toList();
         }
 
-        boolean isDue(final long nowUs) {
-            final long longestUs = parcels.stream()
+        boolean hasExpired(final long nowUs) {
+            final long timeoutUs = items.stream()
                     .mapToLong(MessageService.CallItem::timeoutUs)
                     .max()
                     .orElse(0);
-            return nowUs - call.sentUs() >= longestUs
-                    || open().stream()
-                            .anyMatch(parcel -> nowUs >= parcel.message().latestEndUs());
+            return nowUs - call.sentUs() >= timeoutUs
+                    || openItems().stream()
+                            .anyMatch(item -> nowUs >= item.message().latestEndUs());
         }
     }
 
-    /** {@code mayCall}: true for an endpoint that may get new calls. */
+    /** {@code mayCall} is true for an endpoint that may get new calls. */
     UnrecordedCalls(
             final Clock clock, final EndpointClient endpoints, final Recorder recorder, final LongPredicate mayCall) {
         this.clock = clock;
@@ -51,45 +51,47 @@
         this.mayCall = mayCall;
     }
 
-    /** A call that is decided, and not recorded as a whole. */
-    void add(final long endpoint, final List<MessageService.CallItem> parcels, final EndpointClient.Call call) {
-        waiting.add(new Waiting(endpoint, List.copyOf(parcels), call));
+    /** Adds a call whose attempts could not all be recorded. */
+    void add(final long endpoint, final List<MessageService.CallItem> items, final EndpointClient.Call call) {
+        waiting.add(new WaitingCall(endpoint, List.copyOf(items), call));
     }
 
-    /** Begins what can be recorded now, and ends what has waited for too long. */
+    /** Starts the calls that can be recorded now, and ends those that have waited too long. */
     void retry() {
-        for (final Waiting one : List.copyOf(waiting)) {
-            final List<MessageService.CallItem> open = one.open();
-            if (open.isEmpty()) {
-                waiting.remove(one);
-            } else if (one.isDue(clock.nowUs()) || !mayCall.test(one.endpoint())) {
-                notSent(one);
-            } else if (recorder.record(one.endpoint(), open)) {
-                waiting.remove(one);
-                begin(one, open);
+        for (final WaitingCall waitingCall : List.copyOf(waiting)) {
+            final List<MessageService.CallItem> openItems = waitingCall.openItems();
+            if (openItems.isEmpty()) {
+                waiting.remove(waitingCall);
+            } else if (waitingCall.hasExpired(clock.nowUs()) || !mayCall.test(waitingCall.endpoint())) {
+                reportNotSent(waitingCall);
+            } else if (recorder.record(waitingCall.endpoint(), openItems)) {
+                waiting.remove(waitingCall);
+                startAsNewCall(waitingCall, openItems);
             }
         }
     }
 
-    /** The call goes on as a new one, with what is left of its time. */
-    private void begin(final Waiting one, final List<MessageService.CallItem> open) {
-        final long waitedUs = clock.nowUs() - one.call().sentUs();
-        final List<MessageService.CallItem> rest = open.stream()
-                .map(parcel -> new MessageService.CallItem(
-                        parcel.message(), parcel.timeoutUs() - waitedUs, parcel.writeDeadlineUs()))
+    /** Starts a new call in place of the waiting one, with the time that is left. */
+    private void startAsNewCall(final WaitingCall waitingCall, final List<MessageService.CallItem> openItems) {
+        final long waitedUs = clock.nowUs() - waitingCall.call().sentUs();
+        final List<MessageService.CallItem> remaining = openItems.stream()
+                .map(item -> new MessageService.CallItem(
+                        item.message(), item.timeoutUs() - waitedUs, item.writeDeadlineUs()))
                 .toList();
-        final EndpointClient.Call call = endpoints.prepareCall(one.endpoint(), rest);
-        rest.forEach(parcel -> parcel.message().assignCall(call));
+        final EndpointClient.Call call = endpoints.prepareCall(waitingCall.endpoint(), remaining);
+        remaining.forEach(item -> item.message().assignCall(call));
         endpoints.startCall(call);
     }
 
-    /** These endpoints may not be called now: what waits for one of them is told as not sent. */
-    void cancelUnsent(final LongPredicate bound) {
-        List.copyOf(waiting).stream().filter(one -> bound.test(one.endpoint())).forEach(this::notSent);
+    /** Reports the waiting calls to endpoints that may not be called now as not sent. */
+    void cancelUnsent(final LongPredicate affected) {
+        List.copyOf(waiting).stream()
+                .filter(waitingCall -> affected.test(waitingCall.endpoint()))
+                .forEach(this::reportNotSent);
     }
 
-    private void notSent(final Waiting one) {
-        waiting.remove(one);
-        endpoints.abandonCall(one.call(), Courier.Result.NOT_SENT);
+    private void reportNotSent(final WaitingCall waitingCall) {
+        waiting.remove(waitingCall);
+        endpoints.abandonCall(waitingCall.call(), Courier.Result.NOT_SENT);
     }
 }
--- a/src/test/java/railspar/node/NodeTest.java
+++ b/src/test/java/railspar/node/NodeTest.java
@@ -1069,7 +1069,7 @@
         assertEquals(
                 1,
                 fixture.log.stream()
-                        .filter(line -> line.contains("reports what no limit"))
+                        .filter(line -> line.contains("reports an unusable limit"))
                         .count(),
                 fixture.log.toString());
     }
