--- a/src/main/java/railspar/node/EndpointClient.java
+++ b/src/main/java/railspar/node/EndpointClient.java
@@ -341,7 +341,7 @@
         }
     }
 
-    /** Schedules a task behind the socket reads: a response that is still unread arrived in time. */
+    /** Schedules a task to run after the socket reads: a response that is still unread arrived in time. */
     private void scheduleAfterReading(final Runnable task, final long delayUs) {
         loop.schedule(() -> stallDetector.afterSocketReads(task), delayUs, TimeUnit.MICROSECONDS);
     }
--- a/src/main/java/railspar/node/MessageService.java
+++ b/src/main/java/railspar/node/MessageService.java
@@ -761,7 +761,7 @@
         stallDetector.afterSocketReads(task);
     }
 
-    /** Schedules the decisions behind all events of this pass of the event loop. */
+    /** Schedules the decisions after all events of this pass of the event loop. */
     private void schedulePass() {
         if (!passScheduled) {
             passScheduled = true;
--- a/src/test/java/railspar/node/AbstractCourierProcessTest.java
+++ b/src/test/java/railspar/node/AbstractCourierProcessTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What tests of a whole courier share: a fresh folder, and a rig in it that is closed after each test. */
+/** Base of tests of a whole courier: a fresh folder with a fixture in it, which is closed after each test. */
 @Timeout(120)
 abstract class AbstractCourierProcessTest {
     @TempDir
--- a/src/test/java/railspar/node/CallCrossingsTest.java
+++ b/src/test/java/railspar/node/CallCrossingsTest.java
@@ -21,18 +21,18 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.junit.jupiter.api.Test;
 
-/** Calls that meet a deadline, a window, a lack of descriptors or a client's going, in each order. */
+/** Calls that race with a deadline, a deduplication window, a descriptor shortage or a client's disconnect. */
 final class CallCrossingsTest extends AbstractCourierProcessTest {
     private static final long WINDOW_MS = 300;
-    private static final long LIFE_US = 20_000_000;
+    private static final long MESSAGE_TIMEOUT_US = 20_000_000;
 
-    /** A server that takes no connection up until it is told to: its queue is full. */
-    private static final class Late implements AutoCloseable {
+    /** A server that accepts no connection until {@link #open}, because its backlog is full. */
+    private static final class LateServer implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
         private final List<Socket> fillers = new ArrayList<>();
-        private final List<String> lines = new CopyOnWriteArrayList<>();
+        private final List<String> firstLines = new CopyOnWriteArrayList<>();
 
-        Late() throws IOException {
+        LateServer() throws IOException {
             for (int count = 0; count < 4; count++) {
                 final Socket filler = new Socket();
                 fillers.add(filler);
@@ -48,7 +48,7 @@
             return "127.0.0.1:" + server.getLocalPort();
         }
 
-        /** Takes up all that come from now on, and keeps the first line of each. */
+        /** Accepts all connections from now on and records the first line of each. */
         void open() {
             final Thread thread = new Thread(() -> {
                 try {
@@ -58,7 +58,7 @@
                             try {
                                 final String line = FakeServer.readLine(socket.getInputStream());
                                 if (!line.isEmpty()) {
-                                    lines.add(line);
+                                    firstLines.add(line);
                                 }
                             } catch (final IOException e) {
                                 assertTrue(e.getMessage() != null);
@@ -85,45 +85,45 @@
     }
 
     @Test
-    void aRepeatWhoseConnectionComesUpBehindItsKeysWindowIsNotWritten() throws IOException {
+    void aRetryWhoseConnectionIsEstablishedAfterTheDeduplicationWindowIsNotWritten() throws IOException {
         fixture.connectTimeoutUs = 60_000_000;
         fixture.first.script((request, connection) -> connection.reset());
-        try (Late late = new Late()) {
+        try (LateServer lateServer = new LateServer()) {
             fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + ","
-                    + CourierProcessFixture.hostEntry("e2", late.address(), "Ready");
+                    + CourierProcessFixture.hostEntry("e2", lateServer.address(), "Ready");
             fixture.start();
             assertEquals(202, fixture.submit("m1", "brief").status());
-            fixture.await("the first attempt, which may have run", () -> fixture.first.requests.size() == 1);
+            fixture.await("the first attempt, which may have taken effect", () -> fixture.first.requests.size() == 1);
             final long firstNs = fixture.first.requests.get(0).atNs();
             fixture.await(
                     "the end of the window",
                     () -> System.nanoTime() - firstNs > TimeUnit.MILLISECONDS.toNanos(WINDOW_MS));
-            late.open();
+            lateServer.open();
             fixture.await("its end", () -> fixture.hasNotice("m1", "deferred"));
-            assertEquals(List.of(), late.lines, "nothing goes out behind the window");
+            assertEquals(List.of(), lateServer.firstLines, "nothing is sent after the window");
             assertEquals(1, fixture.first.requests.size());
         }
     }
 
     @Test
-    void aMessageThatSurelyHasNotRunIsHeldForSevenTenthsOfItsTimeHoweverShort() throws IOException {
-        final FakeServer shut = new FakeServer((request, connection) -> {});
-        shut.close();
-        fixture.hosts = CourierProcessFixture.hostEntry("e0", shut, "Ready");
+    void aMessageThatHasNotTakenEffectIsRetriedForSevenTenthsOfItsTimeoutHoweverShort() throws IOException {
+        final FakeServer closedServer = new FakeServer((request, connection) -> {});
+        closedServer.close();
+        fixture.hosts = CourierProcessFixture.hostEntry("e0", closedServer, "Ready");
         fixture.start();
-        final long timeMs = 2000;
-        final long handedNs = System.nanoTime();
+        final long timeoutMs = 2000;
+        final long submittedNs = System.nanoTime();
         assertEquals(
                 202,
-                fixture.send(CourierProcessFixture.message("m1", "once").replace("20000", Long.toString(timeMs)))
+                fixture.send(CourierProcessFixture.message("m1", "once").replace("20000", Long.toString(timeoutMs)))
                         .status());
         fixture.await("its notice", () -> fixture.hasNotice("m1", "deferred"));
-        final long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - handedNs);
-        assertTrue(tookMs >= timeMs * 7 / 10, "given up after " + tookMs + " ms");
+        final long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - submittedNs);
+        assertTrue(tookMs >= timeoutMs * 7 / 10, "ended after " + tookMs + " ms");
     }
 
     @Test
-    void anIdWhoseNoticeIsStillOwedIsNotTakenAgain() throws IOException {
+    void anIdWithAnUnconfirmedNoticeIsNotAcceptedAgain() throws IOException {
         fixture.noticeStatus = 503;
         fixture.first.script((request, connection) -> connection.reset());
         fixture.start();
@@ -134,58 +134,62 @@
     }
 
     @Test
-    void aMessageWhoseClientIsGoneAtItsAnswerIsNotSent() throws IOException, Config.BadConfigException {
+    void aMessageWhoseClientDisconnectsBeforeItsAnswerIsNotSent() throws IOException, Config.BadConfigException {
         final Config config = fixture.config();
         final Clock clock = new Clock();
         final EventLoopGroup group =
                 new MillisecondTimerLoopGroup(new DefaultThreadFactory("withdrawn"), NioIoHandler.newFactory());
         final EventLoop loop = group.next();
-        final MessageService host = new MessageService(config, loop, clock);
+        final MessageService messageService = new MessageService(config, loop, clock);
         loop.execute(() -> {
-            host.startListWatch();
+            messageService.startListWatch();
             try {
-                host.start(Journal.open(config.state(), config.diskBytes()));
+                messageService.start(Journal.open(config.state(), config.diskBytes()));
             } catch (final IOException e) {
                 throw new UncheckedIOException(e);
             }
-            host.submit(held("gone", clock), clock.nowUs() + LIFE_US, answered(() -> host.withdraw("gone")));
-            host.submit(held("stays", clock), clock.nowUs() + LIFE_US, answered(() -> {}));
+            messageService.submit(
+                    acceptedMessage("gone", clock),
+                    clock.nowUs() + MESSAGE_TIMEOUT_US,
+                    replyThatRuns(() -> messageService.withdraw("gone")));
+            messageService.submit(
+                    acceptedMessage("stays", clock), clock.nowUs() + MESSAGE_TIMEOUT_US, replyThatRuns(() -> {}));
         });
         fixture.await("the other one's call", () -> fixture.first.requests.size() == 1);
         assertEquals(List.of("stays"), fixture.first.requests.get(0).ids());
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private static AcceptedMessage held(final String id, final Clock clock) {
-        return new AcceptedMessage(id, "safe", null, null, 7, clock.persistentUs() + LIFE_US, new byte[0]);
+    private static AcceptedMessage acceptedMessage(final String id, final Clock clock) {
+        return new AcceptedMessage(id, "safe", null, null, 7, clock.persistentUs() + MESSAGE_TIMEOUT_US, new byte[0]);
     }
 
-    /** A client to whom that happens as it is answered. */
-    private static MessageService.Reply answered(final Runnable then) {
+    /** A reply that runs an action when the client is answered. */
+    private static MessageService.Reply replyThatRuns(final Runnable action) {
         return new MessageService.Reply() {
             @Override
             public void accepted() {
-                then.run();
+                action.run();
             }
 
             @Override
             public void refused(final int status, final long retryAfterUs) {
-                then.run();
+                action.run();
             }
 
             @Override
             public void failed() {
-                then.run();
+                action.run();
             }
         };
     }
 
-    /** Keeps a crowd of idle connections open, each anew when it is closed, until it is told to stop. */
-    private Thread crowd(final AtomicBoolean over) {
+    /** Keeps many idle connections open, and reopens each one that is closed, until {@code stopped} is set. */
+    private Thread idleClients(final AtomicBoolean stopped) {
         final Thread thread = new Thread(() -> {
             final List<Socket> sockets = new ArrayList<>();
             try {
-                while (!over.get()) {
+                while (!stopped.get()) {
                     sockets.removeIf(socket -> {
                         try {
                             socket.setSoTimeout(1);
@@ -196,7 +200,7 @@
                             return true;
                         }
                     });
-                    while (sockets.size() < 120 && !over.get()) {
+                    while (sockets.size() < 120 && !stopped.get()) {
                         sockets.add(fixture.connect());
                     }
                 }
@@ -213,9 +217,9 @@
     }
 
     /**
-     * A message's whole way, and the first steps and report, so that their classes are loaded: from a folder, as in
-     * tests, each takes a descriptor, and one that could not be read never is. In service they come out of one file
-     * that is open from the start on.
+     * Delivers a message and waits for the first report, so that the classes of both are loaded. Loading a class from a
+     * folder, as in tests, needs a descriptor, and a class that failed to load is never loaded again. In production the
+     * classes are in one file that is open from the start.
      */
     private void warmUp() throws IOException {
         assertEquals(202, fixture.submit("m0", "once").status());
@@ -224,47 +228,45 @@
     }
 
     @Test
-    void withAllDescriptorsTakenByIdleClientsTheListNoticesAndHonestClientsAreServed()
+    void whenIdleClientsUseUpAllDescriptorsTheWatchTheNoticesAndOtherClientsAreServed()
             throws IOException, InterruptedException {
         fixture.discovery = "pushed";
-        // Fewer than the configuration says: clients fill them long before their share of its figure.
+        // Fewer than configured, so that clients use them up long before they reach their configured share.
         fixture.shellPrefix = "ulimit -n 100";
         fixture.first.script((request, connection) -> connection.reset());
         fixture.start();
         fixture.await("the watch", () -> fixture.watches.size() == 1);
         warmUp();
-        final AtomicBoolean over = new AtomicBoolean();
-        final Thread crowd = crowd(over);
+        final AtomicBoolean stopped = new AtomicBoolean();
+        final Thread idleClients = idleClients(stopped);
         fixture.await(
-                "that no descriptor is left",
-                () -> fixture.log.stream().anyMatch(line -> line.contains("cannot accept")));
-        // The descriptor of this watch is free for a moment, and the crowd waits for it.
+                "the descriptor shortage", () -> fixture.log.stream().anyMatch(line -> line.contains("cannot accept")));
+        // The idle clients compete for the descriptor that this watch frees.
         fixture.watches.get(0).reset();
         fixture.await("another watch", () -> fixture.watches.size() >= 2);
         assertEquals(202, fixture.submit("m1", "once").status());
         fixture.await("its call", () -> fixture.first.requests.size() == 2);
         fixture.await("its notice", () -> fixture.hasNotice("m1", "undeliverable"));
-        over.set(true);
-        crowd.join(TimeUnit.SECONDS.toMillis(CourierProcessFixture.TIMEOUT_S));
+        stopped.set(true);
+        idleClients.join(TimeUnit.SECONDS.toMillis(CourierProcessFixture.TIMEOUT_S));
         assertFalse(
                 fixture.log.stream().anyMatch(line -> line.contains("IllegalStateException")), fixture.log.toString());
     }
 
     @Test
-    void aCallThatFindsNoDescriptorEndsItsMessageInTime() throws IOException, InterruptedException {
+    void aMessageWhoseCallGetsNoDescriptorEndsInTime() throws IOException, InterruptedException {
         fixture.shellPrefix = "ulimit -n 100";
         fixture.first.script((request, connection) -> connection.reset());
         fixture.start();
         warmUp();
-        final AtomicBoolean over = new AtomicBoolean();
-        final Thread crowd = crowd(over);
+        final AtomicBoolean stopped = new AtomicBoolean();
+        final Thread idleClients = idleClients(stopped);
         fixture.await(
-                "that no descriptor is left",
-                () -> fixture.log.stream().anyMatch(line -> line.contains("cannot accept")));
+                "the descriptor shortage", () -> fixture.log.stream().anyMatch(line -> line.contains("cannot accept")));
         final String message = CourierProcessFixture.message("m1", "once").replace("20000", "4000");
         assertEquals(202, fixture.send(message).status());
         fixture.await("its end", () -> fixture.hasNotice("m1", "undeliverable") || fixture.hasNotice("m1", "deferred"));
-        over.set(true);
-        crowd.join(TimeUnit.SECONDS.toMillis(CourierProcessFixture.TIMEOUT_S));
+        stopped.set(true);
+        idleClients.join(TimeUnit.SECONDS.toMillis(CourierProcessFixture.TIMEOUT_S));
     }
 }
--- a/src/test/java/railspar/node/CourierProcessFixture.java
+++ b/src/test/java/railspar/node/CourierProcessFixture.java
@@ -20,12 +20,12 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A real courier as a process of its own, between fakes of the platform and of its endpoints. */
+/** Runs a real courier as a separate process, between a fake platform and fake endpoints. */
 final class CourierProcessFixture implements AutoCloseable {
     static final long TIMEOUT_S = 20;
-    /** The window in which repeats of the class "brief" are dropped. */
+    /** The deduplication window of the class "brief". */
     static final long BRIEF_WINDOW_MS = 300;
-    /** A status line, which may be cut off behind its number. */
+    /** A status line; it may be truncated after the status code. */
     private static final Pattern STATUS = Pattern.compile("HTTP/1\\.1 (\\d{3})");
 
     private static final String CLASSES = """
@@ -36,10 +36,10 @@
              {"name":"once","effect":"side_effect","target":5000000,"deadline":20000000},
              {"name":"turn","effect":"side_effect","in_turn":true,"target":5000000,"deadline":20000000}]""";
 
-    /** What a client was answered. */
+    /** The response to a client. */
     record Answer(int status, String head) {}
 
-    /** The platform's notices, a line each. */
+    /** The notices that the platform received, a line each. */
     final List<String> notices = new CopyOnWriteArrayList<>();
 
     final List<FakeServer.Connection> watches = new CopyOnWriteArrayList<>();
@@ -51,26 +51,26 @@
     int maxOpen = 50;
     int diskMb = 3;
     int sockets = 1024;
-    /** The bound on the heap, as the virtual machine is told it. */
+    /** The JVM option for the size of the heap. */
     String heap = "-Xmx64m";
 
     String discovery = "on_request";
     String fleetSetting = "\"balancers\":1";
-    /** Each watch begins with a line that cannot be read. */
+    /** Whether each watch begins with an unreadable line. */
     boolean startWatchesWithInvalidLine;
-    /** What changed while nobody watched: the first line of each watch; none at all, while discovery is silent. */
+    /** The first line of each watch: list changes since the last one, or empty for a discovery that sends nothing. */
     volatile String firstWatchLine = "\n";
-    /** What the shell does before it becomes the program. */
+    /** A shell command to run before the program. */
     String shellPrefix = "";
-    /** Whether the courier has a second address. */
+    /** Whether the courier listens on an operators' address. */
     boolean hasOperatorAddress;
 
-    /** Faults that its processes are started with, or null. */
+    /** The fault page of its processes, or null. */
     FaultPage faults;
 
     long connectTimeoutUs = 1_000_000;
     String extraSetting = "\"unheard_of\":[{\"x\":1}]";
-    /** Endpoints that the courier knows at its start. */
+    /** The list entries in the configuration. */
     String hosts;
 
     private final Path folder;
@@ -91,9 +91,9 @@
             connection.answer(noticeStatus, "");
         } else {
             connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            final String begin = startWatchesWithInvalidLine ? "{\"seq\":42,\"hosts\":[{\"ho\n" : firstWatchLine;
-            if (!begin.isEmpty()) {
-                connection.chunk(begin);
+            final String firstLine = startWatchesWithInvalidLine ? "{\"seq\":42,\"hosts\":[{\"ho\n" : firstWatchLine;
+            if (!firstLine.isEmpty()) {
+                connection.chunk(firstLine);
             }
             watches.add(connection);
         }
@@ -108,7 +108,7 @@
                 + "\"health\":\"" + health + "\",\"share\":100.0,\"born_ms\":0}";
     }
 
-    /** Tells a change of the list over the newest watch. */
+    /** Sends a change of the list over the newest watch. */
     void sendListChange(final long seq, final String host) {
         watches.get(watches.size() - 1).chunk(listLine(seq, host));
     }
@@ -117,49 +117,51 @@
         return "{\"seq\":" + seq + ",\"whole\":false,\"hosts\":[" + host + "]}\n";
     }
 
-    /** Starts the program and waits until it is ready. */
+    /** Starts the courier and waits until it is ready. */
     CourierProcessFixture start() throws IOException {
-        final int before = log.size();
+        final int logStart = log.size();
         launch();
-        awaitReady(before);
-        awaitMgmt(before);
+        awaitReady(logStart);
+        awaitMgmt(logStart);
         return this;
     }
 
-    private void awaitMgmt(final int before) {
+    private void awaitMgmt(final int logStart) {
         if (hasOperatorAddress) {
-            await("the second address", () -> portIn("operators call at", before) > 0);
-            mgmtPort = portIn("operators call at", before);
+            await("the operators' address", () -> portIn("operators call at", logStart) > 0);
+            mgmtPort = portIn("operators call at", logStart);
         }
     }
 
-    private void awaitReady(final int before) {
-        await("ready", () -> portIn("is ready at", before) > 0);
-        port = portIn("is ready at", before);
+    private void awaitReady(final int logStart) {
+        await("ready", () -> portIn("is ready at", logStart) > 0);
+        port = portIn("is ready at", logStart);
     }
 
-    /** Starts a second process beside the first, on the same folder; the result is the first. */
+    /** Starts a successor process on the same folder; returns the old process. */
     Process startSuccessor() throws IOException {
         final Process old = process;
-        final int before = log.size();
+        final int logStart = log.size();
         launch();
-        await("standing by", () -> log.stream().skip(before).anyMatch(line -> line.contains("stands by")));
-        awaitMgmt(before);
+        await(
+                "the successor to wait for its handover",
+                () -> log.stream().skip(logStart).anyMatch(line -> line.contains("stands by")));
+        awaitMgmt(logStart);
         return old;
     }
 
-    /** Ends the first of two processes, by SIGTERM or as a power cut would, and waits until the other one serves. */
+    /** Ends the old process with SIGTERM or SIGKILL and waits until its successor serves. */
     void endOldProcess(final Process old, final boolean kill) {
-        final int before = log.size();
+        final int logStart = log.size();
         if (kill) {
             old.destroyForcibly();
         } else {
             old.destroy();
         }
-        awaitReady(before);
+        awaitReady(logStart);
     }
 
-    /** The port at the end of the first line of the log that says so, or 0. */
+    /** The port at the end of the first log line that contains the words, or 0. */
     private int portIn(final String words, final int from) {
         return log.stream()
                 .skip(from)
@@ -169,7 +171,7 @@
                 .orElse(0);
     }
 
-    /** An operator's call: what is answered, to the end of the connection. */
+    /** Sends an operator's command; returns everything that is answered until the connection ends. */
     String operatorCommand(final String line) throws IOException {
         try (Socket socket = connectToOperatorServer()) {
             socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
@@ -177,14 +179,14 @@
         }
     }
 
-    /** A connection to the second address. */
+    /** Opens a connection to the operators' address. */
     Socket connectToOperatorServer() throws IOException {
         final Socket socket = new Socket("127.0.0.1", mgmtPort);
         socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
         return socket;
     }
 
-    /** One of the figures that operators fetch, or -1. */
+    /** The value of a metric, or -1. */
     long metric(final String name) throws IOException {
         return operatorCommand("DUMP")
                 .lines()
@@ -194,7 +196,7 @@
                 .orElse(-1L);
     }
 
-    /** Writes the file of the configuration, with that platform in it. */
+    /** Writes the configuration file, with the address of that platform. */
     Path writeConfig(final FakeServer at) throws IOException {
         final Path config = folder.resolve("config.json");
         Files.writeString(config, """
@@ -220,7 +222,7 @@
         return config;
     }
 
-    /** The configuration as a process of this rig reads it. */
+    /** The configuration as a process of this fixture reads it. */
     Config config() throws IOException, Config.BadConfigException {
         return Config.read(java.util.Map.of(
                 "PROXY_CONFIG",
@@ -232,20 +234,20 @@
     /** Replaces the configuration and sends SIGHUP. */
     void reload(final FakeServer at) throws IOException, InterruptedException {
         writeConfig(at);
-        hangUp();
+        sendSighup();
     }
 
-    /** Replaces the configuration by something that cannot be read, and sends SIGHUP. */
+    /** Replaces the configuration by an unreadable file and sends SIGHUP. */
     void reloadTruncatedConfig() throws IOException, InterruptedException {
         Files.writeString(folder.resolve("config.json"), "{\"name\":");
-        hangUp();
+        sendSighup();
     }
 
-    private void hangUp() throws IOException, InterruptedException {
+    private void sendSighup() throws IOException, InterruptedException {
         signal("HUP");
     }
 
-    /** Sends a signal to the process: STOP and CONT hold it, and let it go on, at a moment of the test's choice. */
+    /** Sends a signal to the process; STOP and CONT pause and resume it. */
     void signal(final String name) throws IOException, InterruptedException {
         assertTrue(new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
                 .start()
@@ -256,12 +258,12 @@
         return process.isAlive();
     }
 
-    /** The process that was started last. */
+    /** The most recently started process. */
     Process process() {
         return process;
     }
 
-    /** Starts the program without waiting for anything. */
+    /** Starts the courier without waiting for anything. */
     Process launch() throws IOException {
         final Path config = writeConfig(platform);
         final List<String> command = new ArrayList<>(List.of(
@@ -287,18 +289,18 @@
         final BufferedReader out =
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
         final Thread reader = new Thread(
-                () -> out.lines().map(CourierProcessFixture::unstamped).forEach(log::add));
+                () -> out.lines().map(CourierProcessFixture::withoutTimestamps).forEach(log::add));
         reader.setDaemon(true);
         reader.start();
         return process;
     }
 
-    /** A line of the log without the times at its beginning. */
-    private static String unstamped(final String line) {
+    /** A log line without its timestamps. */
+    private static String withoutTimestamps(final String line) {
         return line.replaceFirst("^\\d{4}-\\S+Z \\[\\d+\\.\\d{3}] ", "");
     }
 
-    /** Ends the process as a power cut would, and starts the next one on the same folder. */
+    /** Kills the process and starts the next one on the same folder. */
     void killAndRestart() throws IOException, InterruptedException {
         kill();
         start();
@@ -309,29 +311,30 @@
         assertTrue(process.waitFor(TIMEOUT_S, TimeUnit.SECONDS));
     }
 
-    /** Sends SIGTERM; the result tells when it has ended. */
+    /** Sends SIGTERM; returns the process to wait for. */
     Process terminate() {
         process.destroy();
         return process;
     }
 
-    static String message(final String id, final String kind) {
-        return message(id, kind, "hello");
+    static String message(final String id, final String className) {
+        return message(id, className, "hello");
     }
 
-    static String message(final String id, final String kind, final String body) {
-        return "POST /" + kind + " HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: " + id + "\r\nX-Priority-Class: "
-                + kind + "\r\nX-Timeout-Ms: 20000\r\nIdempotency-Key: key-" + id + "\r\nX-Consignee: dest=7\r\n"
+    static String message(final String id, final String className, final String body) {
+        return "POST /" + className + " HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: " + id
+                + "\r\nX-Priority-Class: "
+                + className + "\r\nX-Timeout-Ms: 20000\r\nIdempotency-Key: key-" + id + "\r\nX-Consignee: dest=7\r\n"
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** A message of the class that keeps its order, with its key. */
+    /** A message of the ordered class, with its ordering key. */
     static String orderedMessage(final String id, final String key) {
         return message(id, "turn").replace("POST /turn ", "POST /turn/" + key + " ");
     }
 
-    Answer submit(final String id, final String kind) throws IOException {
-        return send(message(id, kind));
+    Answer submit(final String id, final String className) throws IOException {
+        return send(message(id, className));
     }
 
     Socket connect() throws IOException {
@@ -340,7 +343,7 @@
         return socket;
     }
 
-    /** Sends some bytes on a connection of their own, and reads the answer. */
+    /** Sends a request on a new connection and reads the response. */
     Answer send(final String raw) throws IOException {
         try (Socket socket = connect()) {
             return send(socket, raw);
@@ -362,16 +365,16 @@
         return new Answer(status, String.join("\n", lines).toLowerCase(java.util.Locale.ROOT));
     }
 
-    /** Waits for something that must come, under a bound that only a failure reaches. */
+    /** Waits for a condition that must come true; the timeout is reached only in a failure. */
     void await(final String what, final BooleanSupplier condition) {
-        final long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+        final long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < untilNs, "never came: " + what + "; log: " + log);
+            assertTrue(System.nanoTime() < deadlineNs, "timed out waiting for: " + what + "; log: " + log);
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(2));
         }
     }
 
-    /** Waits until a figure says so. */
+    /** Waits until a metric has that value. */
     void awaitMetric(final String name, final long value) {
         await(name + " " + value, () -> {
             try {
--- a/src/test/java/railspar/node/FailedWriteTest.java
+++ b/src/test/java/railspar/node/FailedWriteTest.java
@@ -18,15 +18,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import railspar.node.FaultPage.Fault;
 
-/**
- * One write on a socket of a real courier fails, on its way to an endpoint or to a client: what that is taken for.
- */
+/** A failed write to an endpoint or a client: when it counts as sent, not sent or in doubt. */
 final class FailedWriteTest extends AbstractCourierProcessTest {
     private static final String REQUEST_IN_DOUBT = "the request may have left";
     private static final String ANSWER_IN_DOUBT = "its client may have read that it is taken on";
 
     @BeforeEach
-    void preload() throws IOException, InterruptedException {
+    void startWithFaults() throws IOException, InterruptedException {
         fixture.faults = new FaultPage(folder, folder.resolve("state"));
         fixture.discovery = "pushed";
         fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + ","
@@ -41,11 +39,11 @@
                 .set(Fault.SEND_ERRNO, error);
     }
 
-    private void awaitLog(final String words) {
-        fixture.await(words, () -> fixture.log.stream().anyMatch(line -> line.contains(words)));
+    private void awaitLog(final String text) {
+        fixture.await(text, () -> fixture.log.stream().anyMatch(line -> line.contains(text)));
     }
 
-    /** Requests that have come whole with a message. */
+    /** The number of complete requests that contained a message. */
     private long received(final String id) {
         return Collections.frequency(fixture.first.ids(), id) + Collections.frequency(fixture.second.ids(), id);
     }
@@ -58,7 +56,7 @@
         FaultPage.ENOBUFS + "," + FaultPage.HALF_OF_THE_BYTES,
         FaultPage.ETIMEDOUT + "," + FaultPage.NO_BYTES
     })
-    void anUnsafeMessageWhoseRequestMayHaveLeftIsNotSentAgain(final int error, final long effect) throws IOException {
+    void anUnsafeMessageWhoseRequestMayHaveBeenSentIsNotRetried(final int error, final long effect) throws IOException {
         failSends(FaultPage.CONNECTED_SOCKETS, error, effect);
         assertEquals(202, fixture.submit("m1", "once").status());
         awaitLog(REQUEST_IN_DOUBT);
@@ -68,7 +66,7 @@
     }
 
     @Test
-    void noMessageOfACallOfSeveralThatMayHaveLeftIsSentAgain() throws Exception {
+    void noUnsafeMessageOfABulkCallThatMayHaveBeenSentIsRetried() throws Exception {
         final List<String> ids = List.of("m1", "m2", "m3");
         final List<Socket> clients = new ArrayList<>();
         for (int count = 0; count < ids.size(); count++) {
@@ -92,7 +90,8 @@
         fixture.await(
                 "their ends",
                 () -> ids.stream()
-                        .allMatch(id -> fixture.hasNotice(id, "undeliverable") || received(id) > 0 && isDone(id)));
+                        .allMatch(
+                                id -> fixture.hasNotice(id, "undeliverable") || received(id) > 0 && isNotInDoubt(id)));
         ids.forEach(id -> assertTrue(received(id) <= 1, id + " was sent " + received(id) + " times"));
         assertTrue(
                 fixture.log.stream()
@@ -100,13 +99,13 @@
                 fixture.log.toString());
     }
 
-    /** It was delivered by a call whose write did not fail. */
-    private boolean isDone(final String id) {
+    /** True if no call of the message is logged as in doubt: it was delivered by a call whose write did not fail. */
+    private boolean isNotInDoubt(final String id) {
         return fixture.log.stream().noneMatch(line -> line.contains(REQUEST_IN_DOUBT) && line.contains(id));
     }
 
     @Test
-    void aSafeMessageWhoseRequestMayHaveLeftIsSentAgain() throws IOException {
+    void aSafeMessageWhoseRequestMayHaveBeenSentIsRetried() throws IOException {
         failSends(FaultPage.CONNECTED_SOCKETS, FaultPage.EIO, FaultPage.NO_BYTES);
         assertEquals(202, fixture.submit("m1", "safe").status());
         awaitLog(REQUEST_IN_DOUBT);
@@ -115,7 +114,7 @@
     }
 
     @Test
-    void aKeyedMessageWhoseRequestMayHaveLeftIsNotSentAgainBehindItsKeysWindow() throws Exception {
+    void aKeyedMessageWhoseRequestMayHaveBeenSentIsNotRetriedAfterItsDeduplicationWindow() throws Exception {
         failSends(FaultPage.CONNECTED_SOCKETS, FaultPage.EIO, FaultPage.ALL_BYTES);
         assertEquals(202, fixture.submit("m1", "brief").status());
         awaitLog(REQUEST_IN_DOUBT);
@@ -128,7 +127,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {FaultPage.ALL_BYTES, FaultPage.HALF_OF_THE_BYTES})
-    void aMessageWhoseClientHasReadThatItIsTakenOnIsDelivered(final long effect) throws IOException {
+    void aMessageWhoseClientReadTheAcceptanceIsDelivered(final long effect) throws IOException {
         failSends(FaultPage.ACCEPTED_SOCKETS, FaultPage.EIO, effect);
         assertEquals(202, fixture.submit("m1", "once").status());
         awaitLog(ANSWER_IN_DOUBT);
@@ -137,7 +136,7 @@
     }
 
     @Test
-    void aMessageWhoseClientHasReadThatItIsTakenOnIsDeliveredThoughTheProcessIsKilled() throws Exception {
+    void aMessageWhoseClientReadTheAcceptanceIsDeliveredAfterAKill() throws Exception {
         fixture.first.script((request, connection) -> connection.answer(503, ""));
         fixture.second.script((request, connection) -> connection.answer(503, ""));
         failSends(FaultPage.ACCEPTED_SOCKETS, FaultPage.EIO, FaultPage.ALL_BYTES);
@@ -153,7 +152,7 @@
     }
 
     @Test
-    void aNoticeWhoseRequestMayHaveLeftIsToldAgainAndItsMessageIsNotSent() throws IOException {
+    void aNoticeWhoseRequestMayHaveBeenSentIsRepeatedAndItsMessageIsNotRetried() throws IOException {
         fixture.second.script((request, connection) -> {
             fixture.faults.set(Fault.SEND_EFFECT, FaultPage.ALL_BYTES).set(Fault.SEND_ERRNO, FaultPage.EIO);
             connection.answer(410, "");
@@ -165,8 +164,8 @@
         assertEquals(202, fixture.submit("m1", "safe").status());
         fixture.await("its notice", () -> fixture.hasNotice("m1", "undeliverable"));
         fixture.faults.clear();
-        final int told = fixture.notices.size();
-        fixture.await("its notice again", () -> fixture.notices.size() > told);
+        final int noticesBefore = fixture.notices.size();
+        fixture.await("its notice again", () -> fixture.notices.size() > noticesBefore);
         assertEquals(1, received("m1"));
         assertEquals(Set.of(), Set.copyOf(violations()));
     }
--- a/src/test/java/railspar/node/FakeServer.java
+++ b/src/test/java/railspar/node/FakeServer.java
@@ -18,17 +18,17 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** A small HTTP server for tests, on a port of the system's choice: it records requests and answers by a script. */
+/** A small HTTP server for tests, on an ephemeral port. It records requests and answers with a script. */
 final class FakeServer implements AutoCloseable {
     private static final Pattern ID = Pattern.compile("\"id\":\"([^\"]*)\"");
 
-    /** One request that has come in whole. */
+    /** A request that has been received completely. */
     record Request(String line, Map<String, String> headers, byte[] body, Connection connection, long atNs) {
         String text() {
             return new String(body, StandardCharsets.UTF_8);
         }
 
-        /** The messages in a call, of one or of several. */
+        /** The ids of the messages in a single or bulk call. */
         List<String> ids() {
             return line.contains("/inbox/bulk")
                     ? ID.matcher(text()).results().map(found -> found.group(1)).toList()
@@ -48,14 +48,14 @@
     FakeServer(final BiConsumer<Request, Connection> script) throws IOException {
         this.script = script;
         this.server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        daemon(this::accept);
+        startDaemon(this::accept);
     }
 
     void script(final BiConsumer<Request, Connection> next) {
         script = next;
     }
 
-    /** The messages of all calls so far, in their order. */
+    /** The ids of the messages of all calls so far, in order. */
     List<String> ids() {
         return requests.stream().flatMap(request -> request.ids().stream()).toList();
     }
@@ -64,7 +64,7 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    private static void daemon(final Runnable work) {
+    private static void startDaemon(final Runnable work) {
         final Thread thread = new Thread(work);
         thread.setDaemon(true);
         thread.start();
@@ -75,7 +75,7 @@
             while (true) {
                 final Connection connection = new Connection(server.accept());
                 connections.add(connection);
-                daemon(() -> serve(connection));
+                startDaemon(() -> serve(connection));
             }
         } catch (final IOException e) {
             assert server.isClosed();
@@ -108,7 +108,7 @@
         for (String header = readLine(in); !header.isEmpty(); header = readLine(in)) {
             final int colon = header.indexOf(':');
             if (colon < 0) {
-                throw new EOFException("a request breaks off in its head");
+                throw new EOFException("the request ends in the middle of its head");
             }
             headers.put(
                     header.substring(0, colon).toLowerCase(Locale.ROOT),
@@ -117,7 +117,7 @@
         final int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
         final byte[] body = in.readNBytes(length);
         if (body.length < length) {
-            throw new EOFException("a request breaks off in its body");
+            throw new EOFException("the request ends in the middle of its body");
         }
         return new Request(line, headers, body, connection, System.nanoTime());
     }
@@ -136,10 +136,10 @@
         connections.forEach(Connection::reset);
     }
 
-    /** One connection that was made to it. */
+    /** A connection that the server has accepted. */
     static final class Connection {
         private final Socket socket;
-        /** The other side has ended its sending, or the connection is gone. */
+        /** The peer has closed its sending half, or the connection is gone. */
         volatile boolean ended;
 
         Connection(final Socket socket) {
@@ -154,7 +154,7 @@
             write(head + "Content-Length: " + body.getBytes(StandardCharsets.UTF_8).length + "\r\n\r\n" + body);
         }
 
-        /** Takes all messages of a call, as its form asks for. */
+        /** Accepts all messages of a single or bulk call. */
         void accept(final Request call) {
             answer(
                     200,
@@ -177,7 +177,7 @@
             write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
         }
 
-        /** Breaks the connection without a word. */
+        /** Resets the connection. */
         void reset() {
             try {
                 if (!socket.isClosed()) {
--- a/src/test/java/railspar/node/FaultPage.java
+++ b/src/test/java/railspar/node/FaultPage.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** The faults of a process that has {@code src/test/native/faults.c} preloaded: set here, they hold there at once. */
+/** Injects faults into a process that has {@code src/test/native/faults.c} preloaded; they take effect at once. */
 final class FaultPage {
     static final int EINTR = 4;
     static final int EIO = 5;
@@ -25,13 +25,13 @@
     static final int ETIMEDOUT = 110;
     static final int EHOSTUNREACH = 113;
 
-    /** Writes take no byte, all of them or half of them (sockets only), before they fail. */
+    /** How many bytes a failing write takes: none, all or, on sockets only, half of them. */
     static final long NO_BYTES = 0;
 
     static final long ALL_BYTES = -1;
     static final long HALF_OF_THE_BYTES = -2;
 
-    /** Sockets on which receiving, sending, shutting down and closing may fail. */
+    /** The sockets on which receiving, sending, shutting down and closing may fail. */
     static final long ALL_SOCKETS = 0;
 
     static final long ACCEPTED_SOCKETS = 1;
@@ -40,7 +40,7 @@
     private static final Path SOURCE = Path.of("src/test/native/faults.c");
     private static final long COMPILE_S = 60;
 
-    /** The numbers of the page, in the order of the enum in the C file. */
+    /** The values of the page, in the order of the enum in the C file. */
     enum Fault {
         CLOCK_STEP_S,
         OPEN_ERRNO,
@@ -70,12 +70,12 @@
 
     private final Path library;
     private final Path file;
-    private final Path state;
-    private final LongBuffer numbers;
+    private final Path stateFolder;
+    private final LongBuffer values;
 
-    /** A page without faults, in that folder, for processes whose state folder is {@code state}. */
-    FaultPage(final Path folder, final Path state) throws IOException, InterruptedException {
-        this.state = state;
+    /** Creates a page without faults in {@code folder}, for processes whose state folder is {@code stateFolder}. */
+    FaultPage(final Path folder, final Path stateFolder) throws IOException, InterruptedException {
+        this.stateFolder = stateFolder;
         library = folder.resolve("faults.so");
         file = folder.resolve("faults.page");
         final Process compiler = new ProcessBuilder(
@@ -87,27 +87,27 @@
         }
         Files.write(file, new byte[Fault.values().length * Long.BYTES]);
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-            numbers = channel.map(FileChannel.MapMode.READ_WRITE, 0, channel.size())
+            values = channel.map(FileChannel.MapMode.READ_WRITE, 0, channel.size())
                     .order(ByteOrder.nativeOrder())
                     .asLongBuffer();
         }
     }
 
-    /** What a process needs in its environment. */
+    /** The environment variables for a process. */
     Map<String, String> environment() {
         return Map.of(
                 "LD_PRELOAD", library.toString(),
                 "FAULTS_PAGE", file.toString(),
-                "FAULTS_FOLDER", state.toString());
+                "FAULTS_FOLDER", stateFolder.toString());
     }
 
-    /** Sets a number. */
+    /** Sets a value of the page. */
     FaultPage set(final Fault fault, final long value) {
-        numbers.put(fault.ordinal(), value);
+        values.put(fault.ordinal(), value);
         return this;
     }
 
-    /** No call fails any more; a step of the clock stays. */
+    /** Removes all faults except a step of the clock. */
     void clear() {
         for (final Fault fault : Fault.values()) {
             if (fault != Fault.CLOCK_STEP_S) {
--- a/src/test/java/railspar/node/MillisecondTimerLoopGroupTest.java
+++ b/src/test/java/railspar/node/MillisecondTimerLoopGroupTest.java
@@ -18,17 +18,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A loop that waits for a timer does not ask the selector without end through its last part of a millisecond. */
+/** The event loop does not busy-poll through the last fraction of a millisecond before a timer. */
 @Timeout(60)
 final class MillisecondTimerLoopGroupTest {
     private static final int TIMERS = 100;
-    /** Netty's own loop needs hundreds for each; a wake-up, the timer and the wait are a few. */
-    private static final int MOST_ROUNDS = 8 * TIMERS;
+    /** Netty's own loop needs hundreds per timer; a wake-up, the timer and the wait need a few. */
+    private static final int MAX_ROUNDS = 8 * TIMERS;
 
     private final AtomicInteger rounds = new AtomicInteger();
 
-    /** Counts how often a loop turns to its sockets. */
-    private IoHandlerFactory counting() {
+    /** Counts how often the loop polls its sockets. */
+    private IoHandlerFactory countingHandlers() {
         final IoHandlerFactory nio = NioIoHandler.newFactory();
         return executor -> {
             final IoHandler handler = nio.newHandler(executor);
@@ -73,11 +73,12 @@
     }
 
     @Test
-    void aTimerCostsAFewRoundsOfTheLoop() throws InterruptedException {
-        final EventLoopGroup group = new MillisecondTimerLoopGroup(new DefaultThreadFactory("patient"), counting());
+    void aTimerCostsFewRoundsOfTheLoop() throws InterruptedException {
+        final EventLoopGroup group =
+                new MillisecondTimerLoopGroup(new DefaultThreadFactory("patient"), countingHandlers());
         final EventLoop loop = group.next();
         final CountDownLatch done = new CountDownLatch(TIMERS);
-        // Each begins the next one, 1.4 ms later: 0.4 ms are no time that a selector can wait.
+        // Each timer starts the next one 1.4 ms later: a selector cannot wait for the 0.4 ms.
         final Runnable[] next = new Runnable[1];
         next[0] = () -> {
             done.countDown();
@@ -88,11 +89,11 @@
         loop.execute(next[0]);
         done.await();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-        assertTrue(rounds.get() <= MOST_ROUNDS, rounds + " rounds for " + TIMERS + " timers");
+        assertTrue(rounds.get() <= MAX_ROUNDS, rounds + " rounds for " + TIMERS + " timers");
     }
 
     @Test
-    void waitsAreRoundedUpAndWhatIsDueStaysDue() {
+    void delaysAreRoundedUpUnlessTheyAreDue() {
         assertEquals(0, MillisecondTimerLoopGroup.roundUpToMs(0));
         assertEquals(-5, MillisecondTimerLoopGroup.roundUpToMs(-5));
         assertEquals(1_000_000, MillisecondTimerLoopGroup.roundUpToMs(1));
--- a/src/test/java/railspar/node/NodeTest.java
+++ b/src/test/java/railspar/node/NodeTest.java
@@ -19,12 +19,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The real courier over loopback sockets: what the protocol promises, and what goes wrong on a network. */
+/** A real courier over loopback sockets: the guarantees of the protocol, and network failures. */
 final class NodeTest extends AbstractCourierProcessTest {
     private static final long STOP_LIMIT_MS = 3700;
 
     @Test
-    void takesAMessageOnAndDeliversItUnchanged() throws IOException {
+    void acceptsAMessageAndDeliversItUnchanged() throws IOException {
         fixture.start();
         assertEquals(200, fixture.send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status());
         assertEquals(
@@ -38,13 +38,13 @@
         assertEquals("key-m1", call.header("Idempotency-Key"));
         assertEquals((byte) 0xff, call.body()[0]);
         assertTrue(Long.parseLong(call.header("X-Timeout-Ms")) > 0);
-        assertTrue(fixture.notices.isEmpty(), "a message that is delivered is owed nothing");
+        assertTrue(fixture.notices.isEmpty(), "a delivered message gets no notice");
     }
 
     // ---------------------------------------------------------------- restarts
 
     @Test
-    void aSafeMessageThatWasOutAtAKillGoesAgain() throws IOException, InterruptedException {
+    void aSafeMessageInFlightAtAKillIsSentAgain() throws IOException, InterruptedException {
         fixture.first.script((request, connection) -> {});
         fixture.start();
         assertEquals(202, fixture.submit("m1", "safe").status());
@@ -53,11 +53,11 @@
         fixture.killAndRestart();
         fixture.await("the second call", () -> fixture.first.requests.size() == 2);
         assertEquals(List.of("m1", "m1"), fixture.first.ids());
-        // Another call on the same connection shows that the answer to the second one has been read.
+        // A further call on the same connection shows that the response to the second call has been read.
         final FakeServer.Connection used = fixture.first.requests.get(1).connection();
         for (int count = 0;
                 fixture.first.requests.stream()
-                                .filter(one -> one.connection() == used)
+                                .filter(request -> request.connection() == used)
                                 .count()
                         < 2;
                 count++) {
@@ -68,11 +68,13 @@
         fixture.killAndRestart();
         assertEquals(202, fixture.submit("last", "safe").status());
         fixture.await("the last message", () -> fixture.first.ids().contains("last"));
-        assertEquals(2, fixture.first.ids().stream().filter("m1"::equals).count(), "delivered, it does not go again");
+        assertEquals(
+                2, fixture.first.ids().stream().filter("m1"::equals).count(), "a delivered message is not sent again");
     }
 
     @Test
-    void aKeyedMessageGoesAgainAfterAKillWhileItsKeyIsHeld() throws IOException, InterruptedException {
+    void aKeyedMessageInFlightAtAKillIsSentAgainWithinItsDeduplicationWindow()
+            throws IOException, InterruptedException {
         fixture.first.script((request, connection) -> {});
         fixture.start();
         assertEquals(202, fixture.submit("m1", "keyed").status());
@@ -84,7 +86,7 @@
     }
 
     @Test
-    void aKeyedMessageWithoutAKeyOfItsOwnGoesByItsId() throws IOException, InterruptedException {
+    void aKeyedMessageWithoutAnIdempotencyKeyIsSentAgainUnderItsId() throws IOException, InterruptedException {
         fixture.first.script((request, connection) -> {});
         fixture.start();
         assertEquals(
@@ -99,7 +101,7 @@
     }
 
     @Test
-    void aKeyedMessageWhoseKeyMayBeForgottenDoesNotGoAgain() throws IOException, InterruptedException {
+    void aKeyedMessageIsNotSentAgainAfterItsDeduplicationWindow() throws IOException, InterruptedException {
         fixture.first.script((request, connection) -> {});
         fixture.start();
         assertEquals(202, fixture.submit("m1", "brief").status());
@@ -110,12 +112,12 @@
                 "the key's window to pass", () -> System.nanoTime() - calledNs > TimeUnit.MILLISECONDS.toNanos(400));
         fixture.start();
         fixture.await("its notice", () -> fixture.hasNotice("m1", "deferred"));
-        assertTrue(fixture.hasNotice("m1", "again_ms"), "it tells when to come again: " + fixture.notices);
+        assertTrue(fixture.hasNotice("m1", "again_ms"), "the notice says when to submit it again: " + fixture.notices);
         assertEquals(1, fixture.first.requests.size());
     }
 
     @Test
-    void anUnsafeMessageThatWasOutAtAKillIsFailed() throws IOException, InterruptedException {
+    void anUnsafeMessageInFlightAtAKillFails() throws IOException, InterruptedException {
         fixture.first.script((request, connection) -> {});
         fixture.start();
         assertEquals(202, fixture.submit("m1", "once").status());
@@ -126,28 +128,29 @@
     }
 
     @Test
-    void aNoticeIsSentUntilItIsConfirmedAlsoByTheNextProcess() throws IOException, InterruptedException {
+    void aNoticeIsSentUntilItIsConfirmedEvenAcrossARestart() throws IOException, InterruptedException {
         fixture.noticeStatus = 503;
         fixture.first.script((request, connection) -> connection.reset());
         fixture.start();
         assertEquals(202, fixture.submit("m1", "once").status());
-        fixture.await("two tries", () -> fixture.notices.size() >= 2);
+        fixture.await("two attempts to send the notice", () -> fixture.notices.size() >= 2);
         fixture.kill();
         final int before = fixture.notices.size();
         fixture.start();
-        fixture.await("a try by the next process", () -> fixture.notices.size() > before);
+        fixture.await("an attempt by the next process", () -> fixture.notices.size() > before);
         fixture.noticeStatus = 204;
         final int refused = fixture.notices.size();
-        fixture.await("the one that is confirmed", () -> fixture.notices.size() > refused);
+        fixture.await("the confirmed notice", () -> fixture.notices.size() > refused);
         fixture.killAndRestart();
         fixture.noticeStatus = 503;
         assertEquals(202, fixture.submit("m2", "once").status());
         fixture.await("the next notice", () -> fixture.hasNotice("m2", "undeliverable"));
-        assertFalse(fixture.notices.get(fixture.notices.size() - 1).contains("m1"), "confirmed is confirmed");
+        assertFalse(
+                fixture.notices.get(fixture.notices.size() - 1).contains("m1"), "a confirmed notice is not sent again");
     }
 
     @Test
-    void onSigtermItServesOnForAWhileAndEndsBeforeTheKill() throws IOException, InterruptedException {
+    void onSigtermItServesForAWhileAndExitsBeforeItsKillDeadline() throws IOException, InterruptedException {
         fixture.first.script((request, connection) -> {});
         fixture.start();
         final Socket idle = fixture.connect();
@@ -156,21 +159,21 @@
                 CourierProcessFixture.send(idle, CourierProcessFixture.message("m1", "safe"))
                         .status());
         fixture.await("the call", () -> fixture.first.requests.size() == 1);
-        final long termNs = System.nanoTime();
+        final long sigtermNs = System.nanoTime();
         final Process ending = fixture.terminate();
         assertEquals(-1, idle.getInputStream().read(), "an idle client's connection is closed");
-        final CourierProcessFixture.Answer late = fixture.submit("m2", "safe");
-        assertEquals(202, late.status());
-        assertTrue(late.head().contains("connection: close"), late.head());
+        final CourierProcessFixture.Answer lateAnswer = fixture.submit("m2", "safe");
+        assertEquals(202, lateAnswer.status());
+        assertTrue(lateAnswer.head().contains("connection: close"), lateAnswer.head());
         assertTrue(ending.waitFor(CourierProcessFixture.TIMEOUT_S, TimeUnit.SECONDS));
-        final long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - termNs);
+        final long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sigtermNs);
         assertTrue(tookMs < STOP_LIMIT_MS, "took " + tookMs);
         idle.close();
         fixture.first.script((request, connection) -> connection.accept(request));
         final int before = fixture.first.requests.size();
         fixture.start();
         fixture.await(
-                "what was held goes on",
+                "delivery of the messages that were open",
                 () -> fixture.first.ids().stream()
                         .skip(before)
                         .collect(Collectors.toSet())
@@ -198,10 +201,10 @@
     }
 
     @Test
-    void anUnsafeMessageIsTriedAgainOnlyWhereTheFirstTryNeverCameUp() throws IOException {
-        final FakeServer shut = new FakeServer((request, connection) -> {});
-        shut.close();
-        fixture.hosts = CourierProcessFixture.hostEntry("e0", shut, "Ready");
+    void anUnsafeMessageIsRetriedAfterAConnectionThatWasNeverEstablished() throws IOException {
+        final FakeServer closedServer = new FakeServer((request, connection) -> {});
+        closedServer.close();
+        fixture.hosts = CourierProcessFixture.hostEntry("e0", closedServer, "Ready");
         fixture.start();
         assertEquals(202, fixture.submit("m1", "once").status());
         fixture.await("the watch", () -> !fixture.watches.isEmpty());
@@ -211,18 +214,18 @@
     }
 
     @Test
-    void anUnsafeMessageWhoseConnectionBrokeAfterTheLastByteIsFailedAtOnce() throws IOException {
+    void anUnsafeMessageWhoseConnectionBrokeAfterTheLastByteFailsAtOnce() throws IOException {
         fixture.first.script((request, connection) -> connection.reset());
         fixture.start();
-        final long handedNs = System.nanoTime();
+        final long submittedNs = System.nanoTime();
         assertEquals(202, fixture.submit("m1", "once").status());
         fixture.await("its notice", () -> fixture.hasNotice("m1", "undeliverable"));
         assertEquals(1, fixture.first.requests.size());
-        assertTrue(System.nanoTime() - handedNs < TimeUnit.SECONDS.toNanos(15), "long before its 20 s are up");
+        assertTrue(System.nanoTime() - submittedNs < TimeUnit.SECONDS.toNanos(15), "long before its timeout of 20 s");
     }
 
     @Test
-    void aDeliveredMessageStaysDeliveredIfItsConnectionBreaksBehindTheFirstLine() throws IOException {
+    void aDeliveredMessageStaysDeliveredIfItsConnectionBreaksAfterTheStatusLine() throws IOException {
         fixture.first.script((request, connection) -> {
             connection.write("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf");
             connection.reset();
@@ -237,8 +240,8 @@
     }
 
     @Test
-    void aDeliveredMessageStaysDeliveredIfTheRestOfItsAnswerCannotBeRead() throws IOException {
-        final List<String> rests = List.of(
+    void aDeliveredMessageStaysDeliveredIfTheRestOfItsResponseIsMalformed() throws IOException {
+        final List<String> malformedRests = List.of(
                 "what is this\u0000\r\n\r\n",
                 "Content-Length: 5\r\nContent-Length: 7\r\n\r\n",
                 "Content-Length: many\r\n\r\n",
@@ -249,24 +252,24 @@
             if (id.startsWith("last")) {
                 connection.answer(200, "");
             } else {
-                connection.write("HTTP/1.1 200 OK\r\n" + rests.get(Integer.parseInt(id.substring(1))));
+                connection.write("HTTP/1.1 200 OK\r\n" + malformedRests.get(Integer.parseInt(id.substring(1))));
                 connection.reset();
             }
         });
         fixture.start();
-        for (int index = 0; index < rests.size(); index++) {
+        for (int index = 0; index < malformedRests.size(); index++) {
             final int calls = index + 1;
             assertEquals(202, fixture.submit("m" + index, "once").status());
             fixture.await("call " + calls, () -> fixture.first.requests.size() == calls);
         }
         assertEquals(202, fixture.submit("last", "once").status());
         fixture.await("the last", () -> fixture.first.ids().contains("last"));
-        assertEquals(rests.size() + 1, fixture.first.requests.size(), "none goes again");
-        assertTrue(fixture.notices.isEmpty(), "none has failed: " + fixture.notices);
+        assertEquals(malformedRests.size() + 1, fixture.first.requests.size(), "no message is sent again");
+        assertTrue(fixture.notices.isEmpty(), "no message has failed: " + fixture.notices);
     }
 
     @Test
-    void anAnswerWhoseFirstLineCannotBeReadIsAFailureThatMayHaveRun() throws IOException {
+    void aMalformedStatusLineIsAFailureThatMayHaveTakenEffect() throws IOException {
         fixture.first.script((request, connection) -> connection.write("HTTP/1.1 two hundred\r\n\r\n"));
         fixture.start();
         assertEquals(202, fixture.submit("m1", "once").status());
@@ -275,7 +278,7 @@
     }
 
     @Test
-    void aMessageThatAnEndpointSaysIsOverHasItsEndAllTheSame() throws IOException {
+    void aMessageThatAnEndpointReportsAsGoneStillGetsItsNotice() throws IOException {
         fixture.first.script((request, connection) -> connection.answer(410, ""));
         fixture.start();
         assertEquals(202, fixture.submit("m1", "once").status());
@@ -284,7 +287,7 @@
     }
 
     @Test
-    void aDeliveredMessageStaysDeliveredIfTheBodyOfItsAnswerNeverEnds() throws IOException {
+    void aDeliveredMessageStaysDeliveredIfTheBodyOfItsResponseNeverEnds() throws IOException {
         fixture.first.script(
                 (request, connection) -> connection.write("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf"));
         fixture.start();
@@ -297,12 +300,14 @@
                 202,
                 fixture.send(CourierProcessFixture.orderedMessage("m2", "team-1"))
                         .status());
-        fixture.await("the next of its key", () -> fixture.first.ids().contains("m2"));
+        fixture.await(
+                "the next message of the ordering key",
+                () -> fixture.first.ids().contains("m2"));
         assertTrue(fixture.notices.isEmpty(), "the first was delivered: " + fixture.notices);
     }
 
     @Test
-    void aDeliveredMessageStaysDeliveredIfTheHeadOfItsAnswerNeverEnds() throws IOException {
+    void aDeliveredMessageStaysDeliveredIfTheHeadOfItsResponseNeverEnds() throws IOException {
         fixture.first.script((request, connection) -> connection.write("HTTP/1.1 200 OK\r\nContent-Le"));
         fixture.start();
         assertEquals(
@@ -315,12 +320,14 @@
                 fixture.send(CourierProcessFixture.orderedMessage("m2", "team-1")
                                 .replace("20000", "5000"))
                         .status());
-        fixture.await("the next of its key", () -> fixture.first.ids().contains("m2"));
+        fixture.await(
+                "the next message of the ordering key",
+                () -> fixture.first.ids().contains("m2"));
         assertTrue(fixture.notices.isEmpty(), "the first was delivered: " + fixture.notices);
     }
 
     @Test
-    void connectionsAreUsedAgain() throws IOException {
+    void connectionsAreReused() throws IOException {
         fixture.start();
         for (int round = 0; round < 5; round++) {
             final int calls = round + 1;
@@ -331,20 +338,20 @@
     }
 
     @Test
-    void aToldWaitBindsTheWholeDestination() throws IOException {
+    void aRetryAfterAppliesToTheWholeDestination() throws IOException {
         final long waitMs = 1500;
         fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + ","
                 + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
-        final List<Long> toldNs = new ArrayList<>();
-        final List<Long> laterNs = new ArrayList<>();
+        final List<Long> retryAfterNs = new ArrayList<>();
+        final List<Long> nextCallNs = new ArrayList<>();
         final var script =
                 (java.util.function.BiConsumer<FakeServer.Request, FakeServer.Connection>) (request, connection) -> {
-                    synchronized (toldNs) {
-                        if (toldNs.isEmpty()) {
-                            toldNs.add(System.nanoTime());
+                    synchronized (retryAfterNs) {
+                        if (retryAfterNs.isEmpty()) {
+                            retryAfterNs.add(System.nanoTime());
                             connection.answer(429, "", "Retry-After: 1.5");
                         } else {
-                            laterNs.add(request.atNs());
+                            nextCallNs.add(request.atNs());
                             connection.answer(200, "");
                         }
                     }
@@ -353,17 +360,17 @@
         fixture.second.script(script);
         fixture.start();
         assertEquals(202, fixture.submit("m0", "safe").status());
-        fixture.await("the wait", () -> !toldNs.isEmpty());
+        fixture.await("the retry-after", () -> !retryAfterNs.isEmpty());
         for (int count = 1; count < 5; count++) {
             assertEquals(202, fixture.submit("m" + count, "safe").status());
         }
-        fixture.await("what waited", () -> !laterNs.isEmpty());
-        final long tookMs = TimeUnit.NANOSECONDS.toMillis(laterNs.get(0) - toldNs.get(0));
+        fixture.await("the delayed message", () -> !nextCallNs.isEmpty());
+        final long tookMs = TimeUnit.NANOSECONDS.toMillis(nextCallNs.get(0) - retryAfterNs.get(0));
         assertTrue(tookMs >= waitMs, "sent after " + tookMs);
     }
 
     @Test
-    void aWaitBindsThatWasOnItsWayWhenItsCallWasGivenUp() throws IOException {
+    void aRetryAfterThatArrivesAfterItsCallWasAbandonedApplies() throws IOException {
         fixture.first.script((request, connection) -> {});
         fixture.start();
         assertEquals(
@@ -371,22 +378,22 @@
                 fixture.send(CourierProcessFixture.message("m1", "once").replace("20000", "400"))
                         .status());
         fixture.await("the call", () -> fixture.first.requests.size() == 1);
-        final FakeServer.Connection given = fixture.first.connections.get(0);
-        fixture.await("the call to be given up", () -> given.ended);
+        final FakeServer.Connection abandoned = fixture.first.connections.get(0);
+        fixture.await("the end of the abandoned call", () -> abandoned.ended);
         fixture.first.script((request, connection) -> connection.accept(request));
-        final long toldNs = System.nanoTime();
-        given.answer(429, "", "Retry-After: 1.5");
+        final long retryAfterNs = System.nanoTime();
+        abandoned.answer(429, "", "Retry-After: 1.5");
         assertEquals(202, fixture.submit("m2", "safe").status());
-        fixture.await("what waited", () -> fixture.first.ids().contains("m2"));
+        fixture.await("the delayed message", () -> fixture.first.ids().contains("m2"));
         final long tookMs =
-                TimeUnit.NANOSECONDS.toMillis(fixture.first.requests.get(1).atNs() - toldNs);
+                TimeUnit.NANOSECONDS.toMillis(fixture.first.requests.get(1).atNs() - retryAfterNs);
         assertTrue(tookMs >= 1500, "sent after " + tookMs);
     }
 
     @Test
-    void aMessageEndsInItsTimeThoughOthersStillWaitForTheCall() throws IOException {
+    void aMessageEndsByItsDeadlineWhileItsCallContinuesForOthers() throws IOException {
         fixture.start();
-        // So that its class is known to be quick, and it would be sent again long before its time is up.
+        // Fast responses, so that a message of this class would be retried long before its timeout.
         for (final String id : List.of("q1", "q2", "q3")) {
             assertEquals(202, fixture.submit(id, "safe").status());
             fixture.await(id, () -> fixture.first.ids().contains(id));
@@ -397,7 +404,7 @@
             }
         });
         assertEquals(202, fixture.submit("wait", "brief").status());
-        fixture.await("the wait", () -> fixture.first.ids().contains("wait"));
+        fixture.await("the retry-after", () -> fixture.first.ids().contains("wait"));
         fixture.first.script((request, connection) -> {});
         assertEquals(202, fixture.submit("long", "once").status());
         assertEquals(
@@ -405,19 +412,19 @@
                 fixture.send(CourierProcessFixture.message("short", "safe").replace("20000", "6000"))
                         .status());
         fixture.await("its notice", () -> fixture.hasNotice("short", "deferred"));
-        assertFalse(fixture.hasNotice("long", "undeliverable"), "its call still goes on");
+        assertFalse(fixture.hasNotice("long", "undeliverable"), "its call continues");
         assertEquals(1, fixture.first.ids().stream().filter("short"::equals).count());
         assertTrue(
                 fixture.first.requests.stream()
                         .anyMatch(request -> request.ids().containsAll(List.of("long", "short"))),
-                "the two went in one call: " + fixture.first.ids());
+                "both were sent in one call: " + fixture.first.ids());
     }
 
     @Test
-    void theMessageThatLivesLongestLeadsASharedCall() throws IOException {
+    void theMessageWithTheLatestDeadlineComesFirstInASharedCall() throws IOException {
         fixture.first.script((request, connection) -> {});
         fixture.start();
-        // The two take the window, so that the next three wait and go together when it has room again.
+        // These two fill the in-flight window; the next three wait and share a call when it has room again.
         for (final String id : List.of("a", "b")) {
             assertEquals(202, fixture.submit(id, "once").status());
             fixture.await(id, () -> fixture.first.ids().contains(id));
@@ -441,7 +448,7 @@
     }
 
     @Test
-    void aKeyIsFreeOnceTheCallThatItsEndedMessageSharedIsOver() throws IOException {
+    void anOrderingKeyIsReleasedOnceTheSharedCallOfItsEndedMessageIsOver() throws IOException {
         final List<String> silent = List.of("a", "b", "long");
         fixture.first.script((request, connection) -> {
             if (request.ids().stream().noneMatch(silent::contains)) {
@@ -449,7 +456,7 @@
             }
         });
         fixture.start();
-        // The two take the window, so that the next two wait and go together when it has room again.
+        // These two fill the in-flight window; the next two wait and share a call when it has room again.
         for (final String id : List.of("a", "b")) {
             assertEquals(202, fixture.submit(id, "once").status());
             fixture.await(id, () -> fixture.first.ids().contains(id));
@@ -470,17 +477,19 @@
                 .filter(request -> request.ids().containsAll(List.of("long", "m1")))
                 .findFirst()
                 .orElseThrow();
-        assertFalse(fixture.first.ids().contains("m2"), "the first is still out");
+        assertFalse(fixture.first.ids().contains("m2"), "the call of the first message is still in flight");
         shared.connection().accept(shared);
-        fixture.await("its turn", () -> fixture.first.ids().contains("m2"));
+        fixture.await(
+                "the next message of the ordering key",
+                () -> fixture.first.ids().contains("m2"));
     }
 
     @Test
-    void theMessagesOfOneCallFareEachByTheirOwnState() throws IOException {
-        final List<FakeServer.Request> bulks = new ArrayList<>();
+    void eachMessageOfABulkCallHasTheOutcomeOfItsOwnState() throws IOException {
+        final List<FakeServer.Request> bulkCalls = new ArrayList<>();
         fixture.first.script((request, connection) -> {
             if (request.line().contains("/inbox/bulk")) {
-                bulks.add(request);
+                bulkCalls.add(request);
                 connection.answer(
                         200,
                         "[{\"id\":\"ok\",\"state\":\"accepted\"},{\"id\":\"bad\",\"state\":\"fault\"},"
@@ -493,7 +502,7 @@
         });
         fixture.start();
         assertEquals(202, fixture.submit("off", "brief").status());
-        fixture.await("the wait", () -> fixture.first.requests.size() == 1);
+        fixture.await("the retry-after", () -> fixture.first.requests.size() == 1);
         for (final String id : List.of("ok", "bad", "old")) {
             assertEquals(202, fixture.submit(id, "brief").status());
         }
@@ -506,18 +515,18 @@
                                         .requests
                                         .get(fixture.first.requests.size() - 1)
                                         .header("X-Request-ID")));
-        assertEquals(1, bulks.size());
+        assertEquals(1, bulkCalls.size());
         assertTrue(
-                bulks.get(0).text().contains("\"body\":\"aGVsbG8=\""),
-                bulks.get(0).text());
+                bulkCalls.get(0).text().contains("\"body\":\"aGVsbG8=\""),
+                bulkCalls.get(0).text());
         fixture.await(
-                "an end for the one said to be over, which does no harm",
+                "a notice for the message that the endpoint reports as expired",
                 () -> fixture.hasNotice("old", "undeliverable"));
-        assertEquals(2, fixture.notices.size(), "those and no others: " + fixture.notices);
+        assertEquals(2, fixture.notices.size(), "only those two notices: " + fixture.notices);
     }
 
     @Test
-    void messagesOfOneKeyGoOneAtATimeInTheOrderHandedIn() throws IOException {
+    void messagesOfOneOrderingKeyAreSentOneAtATimeInOrder() throws IOException {
         fixture.first.script((request, connection) -> {});
         fixture.start();
         assertEquals(
@@ -533,14 +542,14 @@
                 fixture.send(CourierProcessFixture.orderedMessage("other", "team-2"))
                         .status());
         fixture.await("the other key's call", () -> fixture.first.ids().contains("other"));
-        assertEquals(List.of("m1", "other"), fixture.first.ids(), "the second of a key waits for the first");
+        assertEquals(List.of("m1", "other"), fixture.first.ids(), "the second message of the key waits for the first");
         fixture.first.script((request, connection) -> connection.accept(request));
         fixture.first.requests.get(0).connection().answer(200, "");
-        fixture.await("the second of the key", () -> fixture.first.ids().contains("m2"));
+        fixture.await("the second message of the key", () -> fixture.first.ids().contains("m2"));
     }
 
     @Test
-    void aKeyWaitsForTheAnswerToTheNoticeOfTheMessageBeforeAlsoInTheNextProcess()
+    void anOrderingKeyIsBlockedUntilThePreviousNoticeIsConfirmedEvenAcrossARestart()
             throws IOException, InterruptedException {
         fixture.noticeStatus = 503;
         fixture.first.script((request, connection) -> {
@@ -571,13 +580,13 @@
                 fixture.send(CourierProcessFixture.orderedMessage("o2", "team-3"))
                         .status());
         fixture.await("another key's call", () -> fixture.first.ids().contains("o2"));
-        assertFalse(fixture.first.ids().contains("m2"), "the message before it is not over");
+        assertFalse(fixture.first.ids().contains("m2"), "the notice of the message before it is not confirmed");
         fixture.noticeStatus = 204;
-        fixture.await("the next of the key", () -> fixture.first.ids().contains("m2"));
+        fixture.await("the next message of the key", () -> fixture.first.ids().contains("m2"));
     }
 
     @Test
-    void aMessageThatMustKeepAnOrderAndTellsNoKeyIsNotTaken() throws IOException {
+    void anOrderedMessageWithoutAnOrderingKeyIsRejected() throws IOException {
         fixture.start();
         assertEquals(
                 404, fixture.send(CourierProcessFixture.message("m1", "turn")).status());
@@ -587,12 +596,12 @@
     }
 
     @Test
-    void aMessageThatIsNotDeliveredLeavesALineThatTellsItsStory() throws IOException {
+    void anUndeliveredMessageIsLoggedWithItsAttemptsAndLastResult() throws IOException {
         fixture.first.script((request, connection) -> connection.reset());
         fixture.start();
         assertEquals(202, fixture.submit("m1", "once").status());
         fixture.await(
-                "its line",
+                "its log line",
                 () -> fixture.log.stream()
                         .anyMatch(line -> line.startsWith("message m1 once to 7 failed")
                                 && line.contains("1 attempts")
@@ -600,7 +609,7 @@
     }
 
     @Test
-    void theAnswerToACallOfSeveralIsReadAsSuchWhenTheTimeOfSomeIsUp() throws IOException {
+    void aBulkResponseIsParsedAsBulkAfterSomeOfItsMessagesExpired() throws IOException {
         fixture.first.script((request, connection) -> {});
         fixture.start();
         assertEquals(202, fixture.submit("gate1", "once").status());
@@ -612,25 +621,26 @@
                         .status());
         assertEquals(202, fixture.submit("long", "once").status());
         fixture.first.requests.get(0).connection().answer(200, "");
-        fixture.await("the call of several", () -> fixture.first.requests.size() == 3);
-        fixture.await("the first one's end", () -> fixture.hasNotice("short", "undeliverable"));
+        fixture.await("the bulk call", () -> fixture.first.requests.size() == 3);
+        fixture.await("the notice of the expired message", () -> fixture.hasNotice("short", "undeliverable"));
         fixture.first
                 .requests
                 .get(2)
                 .connection()
                 .answer(200, "[{\"id\":\"short\",\"state\":\"accepted\"}," + "{\"id\":\"long\",\"state\":\"fault\"}]");
-        fixture.await("the other's end by its own state", () -> fixture.hasNotice("long", "undeliverable"));
+        fixture.await(
+                "the notice of the other message, by its own state", () -> fixture.hasNotice("long", "undeliverable"));
     }
 
     // ---------------------------------------------------------------- the list
 
     @Test
-    void nothingNewGoesToAnEndpointThatDrains() throws IOException {
+    void nothingNewIsSentToADrainingEndpoint() throws IOException {
         fixture.hosts = CourierProcessFixture.hostEntry("e1", fixture.first, "Ready") + ","
                 + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready");
         fixture.start();
         fixture.await("the watch", () -> !fixture.watches.isEmpty());
-        // In pieces: a line may come in several reads.
+        // In two parts: a line may arrive in several reads.
         final String line = "{\"seq\":42,\"whole\":false,\"hosts\":["
                 + CourierProcessFixture.hostEntry("e1", fixture.first, "Terminating") + "]}\n";
         fixture.watches.get(0).chunk(line.substring(0, 30));
@@ -638,7 +648,7 @@
         fixture.sendListChange(43, CourierProcessFixture.hostEntry("e3", fixture.first, "Gone"));
         assertEquals(202, fixture.submit("warm", "safe").status());
         fixture.await(
-                "the news to have been read",
+                "a call after the list change",
                 () -> fixture.second.requests.size() + fixture.first.requests.size() == 1);
         final int before = fixture.first.requests.size();
         for (int round = 0; round < 6; round++) {
@@ -651,7 +661,7 @@
     }
 
     @Test
-    void whatWasToldWhileNoProcessRanHoldsFromTheFirstCallOn() throws IOException, InterruptedException {
+    void listChangesWhileNoProcessRanApplyFromTheFirstCall() throws IOException, InterruptedException {
         fixture.discovery = "pushed";
         fixture.first.script((request, connection) -> {});
         fixture.start();
@@ -667,41 +677,42 @@
                         + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready"));
         fixture.start();
         fixture.await(
-                "what was held goes elsewhere", () -> fixture.second.ids().containsAll(List.of("m0", "m1", "m2")));
+                "delivery of the open messages by the other endpoint",
+                () -> fixture.second.ids().containsAll(List.of("m0", "m1", "m2")));
         assertEquals(
-                before, fixture.first.requests.size(), "nothing new went to the endpoint that drains: " + fixture.log);
+                before, fixture.first.requests.size(), "nothing new was sent to the draining endpoint: " + fixture.log);
     }
 
     @Test
-    void aSilentDiscoveryDoesNotKeepACourierFromStarting() throws IOException {
+    void aSilentDiscoveryDoesNotPreventTheStart() throws IOException {
         fixture.discovery = "pushed";
         fixture.firstWatchLine = "";
         fixture.start();
         assertEquals(202, fixture.submit("m1", "safe").status());
         fixture.await(
-                "the call, by the list that was known",
+                "the call, based on the configured list",
                 () -> fixture.first.ids().contains("m1"));
     }
 
-    /** What is done while an endpoint takes no connection up, and tells nobody. */
-    private interface Unconnected {
+    /** A test body that runs while an endpoint neither accepts nor refuses connections. */
+    private interface TestBody {
         void run(String address) throws IOException;
     }
 
-    private static void whileConnecting(final Unconnected work) throws IOException {
-        try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+    private static void withUnacceptedConnections(final TestBody body) throws IOException {
+        try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             final List<Socket> fillers = new ArrayList<>();
-            // A backlog that is full takes no connection up.
+            // A full backlog accepts no further connection.
             for (int count = 0; count < 4; count++) {
                 final Socket filler = new Socket();
                 fillers.add(filler);
                 try {
-                    filler.connect(full.getLocalSocketAddress(), 200);
+                    filler.connect(server.getLocalSocketAddress(), 200);
                 } catch (final SocketTimeoutException e) {
                     break;
                 }
             }
-            work.run("127.0.0.1:" + full.getLocalPort());
+            body.run("127.0.0.1:" + server.getLocalPort());
             for (final Socket filler : fillers) {
                 filler.close();
             }
@@ -709,9 +720,9 @@
     }
 
     @Test
-    void aCallThatStillConnectsToAnEndpointThatDrainsGoesElsewhere() throws IOException {
+    void aCallStillConnectingToADrainingEndpointIsSentElsewhere() throws IOException {
         fixture.connectTimeoutUs = 60_000_000;
-        whileConnecting(address -> {
+        withUnacceptedConnections(address -> {
             fixture.hosts = CourierProcessFixture.hostEntry("e1", address, "Ready");
             fixture.start();
             fixture.await("the watch", () -> !fixture.watches.isEmpty());
@@ -721,15 +732,15 @@
                     CourierProcessFixture.hostEntry("e1", address, "Terminating") + ","
                             + CourierProcessFixture.hostEntry("e2", fixture.second, "Ready"));
             fixture.await(
-                    "a call elsewhere, long before the connection gives up",
+                    "a call elsewhere, long before the connect timeout",
                     () -> fixture.second.ids().contains("m1"));
         });
     }
 
     @Test
-    void aMessageWhoseTimeIsUpWhileItsCallStillConnectsHasNotRun() throws IOException {
+    void aMessageThatExpiresWhileItsCallIsConnectingIsDeferred() throws IOException {
         fixture.connectTimeoutUs = 60_000_000;
-        whileConnecting(address -> {
+        withUnacceptedConnections(address -> {
             fixture.hosts = CourierProcessFixture.hostEntry("e1", address, "Ready");
             fixture.start();
             assertEquals(
@@ -737,12 +748,12 @@
                     fixture.send(CourierProcessFixture.message("m1", "once").replace("20000", "2000"))
                             .status());
             fixture.await("its notice", () -> fixture.notices.stream().anyMatch(line -> line.contains("\"m1\"")));
-            assertTrue(fixture.hasNotice("m1", "deferred"), "it may come again: " + fixture.notices);
+            assertTrue(fixture.hasNotice("m1", "deferred"), "it may be submitted again: " + fixture.notices);
         });
     }
 
     @Test
-    void aBrokenWatchIsAskedForAgainFromWhereItStood() throws IOException {
+    void aBrokenWatchIsResumedFromTheLastVersion() throws IOException {
         fixture.start();
         fixture.await("the watch", () -> fixture.watches.size() == 1);
         assertTrue(fixture.platform.requests.get(0).line().contains("after=41"));
@@ -757,7 +768,7 @@
     }
 
     @Test
-    void aListThatIsPushedIsWatchedFromTheStartAndAgainAfterABreak() throws IOException {
+    void aPushedListIsWatchedFromTheStartAndAgainAfterADisconnect() throws IOException {
         fixture.discovery = "pushed";
         fixture.start();
         fixture.await("the watch", () -> fixture.watches.size() == 1);
@@ -774,7 +785,7 @@
     }
 
     @Test
-    void onSighupItMovesToTheNewDiscoveryAndServesOn() throws IOException, InterruptedException {
+    void onSighupItSwitchesToTheNewDiscoveryAddressAndKeepsServing() throws IOException, InterruptedException {
         fixture.discovery = "pushed";
         fixture.start();
         fixture.await("the watch", () -> fixture.watches.size() == 1);
@@ -795,38 +806,38 @@
                                     && request.text().contains("m2")));
             fixture.await(
                     "the old connections' end",
-                    () -> fixture.platform.connections.stream().allMatch(one -> one.ended));
+                    () -> fixture.platform.connections.stream().allMatch(connection -> connection.ended));
         }
         assertTrue(fixture.isAlive());
     }
 
     @Test
-    void aStartThatIgnoresSighupIsSaid() throws IOException {
+    void anIgnoredSighupIsLoggedAtTheStart() throws IOException {
         fixture.shellPrefix = "trap '' HUP";
         fixture.start();
         assertTrue(fixture.log.stream().anyMatch(line -> line.startsWith("SIGHUP is ignored")), fixture.log.toString());
     }
 
     @Test
-    void aConfigurationThatCannotBeReadAtSighupChangesNothing() throws IOException, InterruptedException {
+    void anUnreadableConfigurationAtSighupChangesNothing() throws IOException, InterruptedException {
         fixture.start();
         fixture.reloadTruncatedConfig();
-        fixture.await("its line", () -> fixture.log.stream().anyMatch(line -> line.startsWith("reload: kept")));
+        fixture.await("its log line", () -> fixture.log.stream().anyMatch(line -> line.startsWith("reload: kept")));
         assertEquals(202, fixture.submit("m1", "safe").status());
         fixture.await("the call", () -> fixture.first.requests.size() == 1);
     }
 
     @Test
-    void aWatchThatFallsSilentIsAskedForAgain() throws IOException {
+    void aSilentWatchIsReplaced() throws IOException {
         fixture.start();
         fixture.await("the watch", () -> fixture.watches.size() == 1);
         fixture.await("the next watch", () -> fixture.watches.size() == 2);
-        fixture.await("an end for the silent one", () -> fixture.watches.get(0).ended);
-        assertFalse(fixture.watches.get(1).ended, "the one that speaks is kept");
+        fixture.await("the end of the silent watch", () -> fixture.watches.get(0).ended);
+        assertFalse(fixture.watches.get(1).ended, "the watch that is not silent is kept");
     }
 
     @Test
-    void aLineThatCannotBeReadEndsTheWatchAndNotTheCourier() throws IOException {
+    void anUnreadableListLineEndsTheWatchButNotTheCourier() throws IOException {
         fixture.start();
         fixture.await("the watch", () -> fixture.watches.size() == 1);
         fixture.watches.get(0).chunk("{\"seq\":42,\"hosts\":[{\"host\":\"e9\"\n");
@@ -838,54 +849,56 @@
     // ---------------------------------------------------------------- clients
 
     @Test
-    void whatCannotBeReadOrUsedIsAnsweredAndNothingIsTaken() throws IOException {
+    void invalidRequestsAreRejectedWithAClientError() throws IOException {
         fixture.start();
-        final String good = CourierProcessFixture.message("bad", "keyed");
-        final List<String> bad = List.of(
+        final String valid = CourierProcessFixture.message("bad", "keyed");
+        final List<String> invalid = List.of(
                 "what is this\r\n\r\n",
-                good.replace("POST /keyed", "POST /unheard"),
-                good.replace("POST", "GET"),
-                good.replace("X-Priority-Class: keyed", "X-Priority-Class: safe"),
-                good.replace("X-Request-ID: bad\r\n", ""),
-                good.replace("X-Timeout-Ms: 20000", "X-Timeout-Ms: soon"),
-                good.replace("20000", "-1"),
-                good.replace("dest=7", "dest=x"),
-                good.replace("X-Consignee: dest=7\r\n", ""),
-                good.replace("Length: 5", "Length: -5"),
-                good.replace("Length: 5", "Length: 99999999999999999999"),
+                valid.replace("POST /keyed", "POST /unheard"),
+                valid.replace("POST", "GET"),
+                valid.replace("X-Priority-Class: keyed", "X-Priority-Class: safe"),
+                valid.replace("X-Request-ID: bad\r\n", ""),
+                valid.replace("X-Timeout-Ms: 20000", "X-Timeout-Ms: soon"),
+                valid.replace("20000", "-1"),
+                valid.replace("dest=7", "dest=x"),
+                valid.replace("X-Consignee: dest=7\r\n", ""),
+                valid.replace("Length: 5", "Length: -5"),
+                valid.replace("Length: 5", "Length: 99999999999999999999"),
                 CourierProcessFixture.message("bad", "keyed", "x".repeat((1 << 16) + 1)),
-                good.replace("X-Request-ID: bad", "X-Request-ID: bad\r\nX-Request-ID: other"),
-                good.replace("Host: backend.local\r\n", ""),
-                good.replace("POST /keyed", "POST /keyed/more"),
-                good.replace("POST /keyed", "POST /keyed?v=1"),
-                good.replace("POST /keyed", "POST keyed"),
+                valid.replace("X-Request-ID: bad", "X-Request-ID: bad\r\nX-Request-ID: other"),
+                valid.replace("Host: backend.local\r\n", ""),
+                valid.replace("POST /keyed", "POST /keyed/more"),
+                valid.replace("POST /keyed", "POST /keyed?v=1"),
+                valid.replace("POST /keyed", "POST keyed"),
                 CourierProcessFixture.orderedMessage("bad", "k?v=1"),
                 CourierProcessFixture.orderedMessage("bad", "k/more"),
                 CourierProcessFixture.orderedMessage("bad", "k%20"),
-                good.replace("Content-Length: 5", "Transfer-Encoding: chunked\r\nContent-Length: 5"),
+                valid.replace("Content-Length: 5", "Transfer-Encoding: chunked\r\nContent-Length: 5"),
                 "GET /" + "x".repeat(20_000) + " HTTP/1.1\r\n\r\n",
-                good.replace("Host: backend.local", "Host: " + "x".repeat(20_000)));
-        for (final String raw : bad) {
+                valid.replace("Host: backend.local", "Host: " + "x".repeat(20_000)));
+        for (final String raw : invalid) {
             final int status = fixture.send(raw).status();
             assertTrue(
                     status >= 400 && status < 500,
                     status + " for " + raw.lines().limit(8).toList());
         }
-        try (Socket half = fixture.connect()) {
-            half.getOutputStream()
-                    .write(good.substring(0, good.length() - 2).getBytes(java.nio.charset.StandardCharsets.ISO_8859_1));
+        try (Socket incomplete = fixture.connect()) {
+            incomplete
+                    .getOutputStream()
+                    .write(valid.substring(0, valid.length() - 2)
+                            .getBytes(java.nio.charset.StandardCharsets.ISO_8859_1));
         }
         assertEquals(202, fixture.submit("m1", "safe").status());
-        fixture.await("the good one", () -> fixture.first.requests.size() == 1);
+        fixture.await("the valid message", () -> fixture.first.requests.size() == 1);
         assertEquals(List.of("m1"), fixture.first.ids());
         assertTrue(fixture.notices.isEmpty());
     }
 
     @Test
-    void aPeerThatSendsNothingOrHalfARequestIsGivenUpWithinItsTimeAndOthersAreServed() throws IOException {
+    void idleAndIncompleteClientConnectionsTimeOutWhileOthersAreServed() throws IOException {
         fixture.start();
-        final String good = CourierProcessFixture.message("half", "safe");
-        final List<String> starts = List.of("PO", good.substring(0, 60), good.substring(0, good.length() - 2));
+        final String valid = CourierProcessFixture.message("half", "safe");
+        final List<String> starts = List.of("PO", valid.substring(0, 60), valid.substring(0, valid.length() - 2));
         final List<Socket> peers = new ArrayList<>();
         for (final String start : starts) {
             final Socket peer = fixture.connect();
@@ -893,10 +906,10 @@
             peers.add(peer);
         }
         final Socket silent = fixture.connect();
-        final Socket asker = fixture.connect();
+        final Socket healthChecker = fixture.connect();
         assertEquals(
                 200,
-                CourierProcessFixture.send(asker, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
+                CourierProcessFixture.send(healthChecker, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
                         .status());
         final Socket used = fixture.connect();
         assertEquals(
@@ -907,18 +920,18 @@
         peers.add(used);
         for (final Socket peer : peers) {
             assertEquals(408, CourierProcessFixture.read(peer.getInputStream()).status());
-            assertEquals(-1, peer.getInputStream().read(), "and then it is closed");
+            assertEquals(-1, peer.getInputStream().read(), "the connection is closed afterwards");
             peer.close();
         }
-        assertEquals(-1, silent.getInputStream().read(), "nothing was asked, so nothing is answered");
-        assertEquals(-1, asker.getInputStream().read(), "nor for one that only asked whether we are up");
+        assertEquals(-1, silent.getInputStream().read(), "no request was started, so there is no response");
+        assertEquals(-1, healthChecker.getInputStream().read(), "nor on a connection after a health check");
         silent.close();
-        asker.close();
-        fixture.await("the good one", () -> fixture.first.ids().equals(List.of("m1")));
+        healthChecker.close();
+        fixture.await("the valid message", () -> fixture.first.ids().equals(List.of("m1")));
     }
 
     @Test
-    void aMessageForADestinationThatNoListHasNamedIsNotTakenOn() throws IOException {
+    void aMessageForADestinationThatWasNeverListedIsRejected() throws IOException {
         fixture.start();
         fixture.await("the watch", () -> !fixture.watches.isEmpty());
         final String message = CourierProcessFixture.message("m1", "safe").replace("dest=7", "dest=70000");
@@ -933,13 +946,15 @@
                 43,
                 CourierProcessFixture.hostEntry("e2", fixture.second, "Gone")
                         .replace("\"block\":7", "\"block\":70000"));
-        fixture.await("the news", () -> fixture.log.stream().anyMatch(line -> line.startsWith("the list at 43")));
-        assertEquals(202, fixture.send(message).status(), "named once, it may have endpoints again");
+        fixture.await(
+                "the list change", () -> fixture.log.stream().anyMatch(line -> line.startsWith("the list at 43")));
+        assertEquals(
+                202, fixture.send(message).status(), "a destination that was listed once may have endpoints again");
         assertEquals(0, fixture.first.requests.size());
     }
 
     @Test
-    void theLargestBodyIsTaken() throws IOException {
+    void theLargestBodyIsAccepted() throws IOException {
         fixture.start();
         assertEquals(
                 202,
@@ -950,7 +965,7 @@
     }
 
     @Test
-    void requestsThatComeTogetherAreAnsweredInTheirOrder() throws IOException {
+    void pipelinedRequestsAreAnsweredInOrder() throws IOException {
         fixture.start();
         try (Socket socket = fixture.connect()) {
             final String three = CourierProcessFixture.message("m1", "safe") + "GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -964,7 +979,7 @@
     }
 
     @Test
-    void anIdThatIsHeldAlreadyIsNotTakenTwice() throws IOException {
+    void theIdOfAnOpenMessageIsNotAcceptedTwice() throws IOException {
         fixture.first.script((request, connection) -> {});
         fixture.start();
         assertEquals(202, fixture.submit("m1", "safe").status());
@@ -972,7 +987,7 @@
     }
 
     @Test
-    void aFullStoreRefusesInsteadOfLosing() throws IOException {
+    void aFullStoreRejectsMessagesInsteadOfLosingThem() throws IOException {
         fixture.maxOpen = 3;
         fixture.first.script((request, connection) -> {});
         fixture.start();
@@ -982,13 +997,13 @@
             statuses.add(answer.status());
             assertTrue(answer.status() == 202 || answer.head().contains("retry-after"), answer.head());
         }
-        final long taken = statuses.stream().filter(status -> status == 202).count();
-        assertTrue(taken >= 2 && taken <= 3 + fixture.notices.size(), statuses.toString());
+        final long accepted = statuses.stream().filter(status -> status == 202).count();
+        assertTrue(accepted >= 2 && accepted <= 3 + fixture.notices.size(), statuses.toString());
         assertTrue(statuses.stream().allMatch(status -> status == 202 || status == 429 || status == 503));
     }
 
     @Test
-    void aFullJournalRefusesInsteadOfPromising() throws IOException {
+    void aFullJournalRejectsMessagesInsteadOfAcceptingThem() throws IOException {
         fixture.diskMb = 1;
         fixture.first.script((request, connection) -> {});
         fixture.start();
@@ -1004,23 +1019,23 @@
     // ---------------------------------------------------------------- the start
 
     @Test
-    void aBadValueEndsTheStartWithOneLine() throws IOException, InterruptedException {
+    void anInvalidSettingEndsTheStartWithOneLogLine() throws IOException, InterruptedException {
         fixture.extraSetting = "\"step\":5000,\"goal\":{\"whole\":0.5}";
         fixture.maxOpen = 0;
         final Process process = fixture.launch();
         assertTrue(process.waitFor(CourierProcessFixture.TIMEOUT_S, TimeUnit.SECONDS));
         assertEquals(1, process.exitValue());
-        fixture.await("its line", () -> !fixture.log.isEmpty());
+        fixture.await("its log line", () -> !fixture.log.isEmpty());
         assertEquals(1, fixture.log.size(), fixture.log.toString());
         assertTrue(fixture.log.get(0).contains("at least one message, not 0"), fixture.log.toString());
     }
 
-    /** It was to end the start; the issue on a larger fleet has it that a list never crashes the courier. */
+    /** A list must never stop the courier, not even at its start. */
     @Test
-    void anEntryThatCannotBeUsedCostsTheOthersNothing() throws IOException {
+    void anInvalidListEntryDoesNotAffectTheOthers() throws IOException {
         fixture.discovery = "pushed";
-        final String good = fixture.hosts;
-        fixture.hosts = CourierProcessFixture.hostEntry("e8", "nowhere", "Ready") + "," + good;
+        final String valid = fixture.hosts;
+        fixture.hosts = CourierProcessFixture.hostEntry("e8", "nowhere", "Ready") + "," + valid;
         fixture.start();
         fixture.await("the watch", () -> fixture.watches.size() == 1);
         fixture.sendListChange(
@@ -1030,8 +1045,8 @@
                         + CourierProcessFixture.hostEntry("e1", "nowhere", "Terminating"));
         fixture.await("the change", () -> fixture.log.stream().anyMatch(line -> line.startsWith("the list at 42")));
         assertEquals(202, fixture.submit("m1", "safe").status());
-        fixture.await("the call where the change was good", () -> fixture.second.requests.size() == 1);
-        assertEquals(0, fixture.first.requests.size(), "what drains is heeded though its address cannot be read");
+        fixture.await("the call to the endpoint with a valid entry", () -> fixture.second.requests.size() == 1);
+        assertEquals(0, fixture.first.requests.size(), "a drain is obeyed although the entry's address is invalid");
         assertEquals(
                 1,
                 fixture.log.stream().filter(line -> line.contains("'nowhere'")).count(),
@@ -1039,13 +1054,13 @@
     }
 
     @Test
-    void aListThatStaysUnreadableIsAskedForLessAndLessAndSaidOnce() throws IOException {
+    void anUnreadableListIsRequestedWithBackoffAndLoggedOnce() throws IOException {
         fixture.discovery = "pushed";
         fixture.startWatchesWithInvalidLine = true;
         fixture.start();
         final long fromNs = System.nanoTime();
         fixture.await("watches", () -> fixture.watches.size() == 4);
-        assertTrue(System.nanoTime() - fromNs > TimeUnit.MILLISECONDS.toNanos(300 + 600 + 1200), "the gaps grow");
+        assertTrue(System.nanoTime() - fromNs > TimeUnit.MILLISECONDS.toNanos(300 + 600 + 1200), "the delays grow");
         assertEquals(
                 1,
                 fixture.log.stream()
@@ -1056,7 +1071,7 @@
     }
 
     @Test
-    void anAbsurdReportIsIgnoredAndSaidOnce() throws IOException {
+    void anUnusableLimitReportIsIgnoredAndLoggedOnce() throws IOException {
         fixture.start();
         for (final String load :
                 List.of("x0=nan,x1=4", "x0=0.5,x1=-3", "x0=0.5", "what", "x0=7,x1=Infinity", "x0=0.5,x1=0.000001")) {
@@ -1077,7 +1092,7 @@
     @ParameterizedTest
     @ValueSource(
             strings = {"\"balancers\":0", "\"balancers\":-3", "\"balancers\":\"many\"", "\"balancers\":99999999999"})
-    void anAbsurdSizeOfTheFleetIsBounded(final String size) throws IOException {
+    void anInvalidFleetSizeIsBounded(final String size) throws IOException {
         fixture.fleetSetting = size;
         fixture.start();
         assertEquals(
@@ -1090,66 +1105,69 @@
         fixture.await("the call", () -> fixture.first.requests.size() == 1);
     }
 
-    // ---------------------------------------------------------------- crowds, and the slow
+    // ---------------------------------------------------------------- many and slow clients
 
     @Test
-    void aCrowdOfSilentClientsMakesRoomForOneWithAMessage() throws IOException {
+    void silentClientConnectionsAreClosedToMakeRoomForAMessage() throws IOException {
         fixture.sockets = 60;
         fixture.start();
-        final List<Socket> crowd = new ArrayList<>();
+        final List<Socket> silentClients = new ArrayList<>();
         for (int count = 0; count < 100; count++) {
             final Socket socket = fixture.connect();
             if (count % 2 == 0) {
                 socket.getOutputStream().write("POST /safe HTTP/1.1\r\nHost".getBytes(StandardCharsets.US_ASCII));
             }
-            crowd.add(socket);
+            silentClients.add(socket);
         }
         assertEquals(202, fixture.submit("m1", "safe").status());
         fixture.await("the call", () -> fixture.first.requests.size() == 1);
-        assertEquals(-1, crowd.get(0).getInputStream().read(), "the one that was silent for longest had to go");
+        assertEquals(
+                -1,
+                silentClients.get(0).getInputStream().read(),
+                "the connection that was silent for longest is closed");
         assertTrue(fixture.isAlive());
-        for (final Socket socket : crowd) {
+        for (final Socket socket : silentClients) {
             socket.close();
         }
     }
 
-    /** Writes a message in two parts, so long apart; the result is for how long it was on its way at least. */
-    private static long sendSlowly(final Socket socket, final String message, final long apartMs) throws IOException {
+    /** Writes a message in two parts with a delay between them; returns the actual delay in milliseconds. */
+    private static long sendSlowly(final Socket socket, final String message, final long delayMs) throws IOException {
         final byte[] bytes = message.getBytes(StandardCharsets.US_ASCII);
         final long fromNs = System.nanoTime();
         socket.getOutputStream().write(bytes, 0, bytes.length / 2);
-        LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(apartMs));
-        final long apartNs = System.nanoTime() - fromNs;
+        LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(delayMs));
+        final long delayNs = System.nanoTime() - fromNs;
         socket.getOutputStream().write(bytes, bytes.length / 2, bytes.length - bytes.length / 2);
-        return TimeUnit.NANOSECONDS.toMillis(apartNs);
+        return TimeUnit.NANOSECONDS.toMillis(delayNs);
     }
 
     @Test
-    void theTimeOfAMessageRunsFromItsFirstByte() throws IOException {
+    void theTimeoutOfAMessageRunsFromItsFirstByte() throws IOException {
         fixture.start();
         try (Socket socket = fixture.connect()) {
-            // A first request, so that the time before it on this connection does not count.
+            // A first request, so that idle time of the connection before it does not count.
             assertEquals(
                     202,
                     CourierProcessFixture.send(socket, CourierProcessFixture.message("m0", "safe"))
                             .status());
-            final long apartMs = sendSlowly(socket, CourierProcessFixture.message("m1", "once"), 900);
+            final long delayMs = sendSlowly(socket, CourierProcessFixture.message("m1", "once"), 900);
             assertEquals(
                     202, CourierProcessFixture.read(socket.getInputStream()).status());
             fixture.await("the call", () -> fixture.first.ids().contains("m1"));
             final FakeServer.Request call = fixture.first.requests.stream()
-                    .filter(one -> one.ids().contains("m1"))
+                    .filter(request -> request.ids().contains("m1"))
                     .findFirst()
                     .orElseThrow();
-            // Some of the time between the parts may pass before the first one is read.
+            // Part of the delay may pass before the first part is read.
             assertTrue(
-                    Long.parseLong(call.header("X-Timeout-Ms")) <= 20_000 - apartMs / 2,
+                    Long.parseLong(call.header("X-Timeout-Ms")) <= 20_000 - delayMs / 2,
                     call.headers().toString());
         }
     }
 
     @Test
-    void aMessageWhoseTimeIsUpBeforeItIsWholeIsRefused() throws IOException {
+    void aMessageThatExpiresBeforeItIsCompleteIsRejected() throws IOException {
         fixture.start();
         try (Socket socket = fixture.connect()) {
             sendSlowly(
--- a/src/test/java/railspar/node/SettingsApartTest.java
+++ b/src/test/java/railspar/node/SettingsApartTest.java
@@ -25,9 +25,7 @@
 import railspar.Control;
 import railspar.Courier;
 
-/**
- * Two customers' settings in one process: neither takes anything of the other, and what is absent has its default.
- */
+/** The settings of two customers in one process do not affect each other, and absent settings have their defaults. */
 @Timeout(60)
 final class SettingsApartTest {
     private static final String HARBOUR = """
@@ -58,42 +56,42 @@
     }
 
     @Test
-    void whatIsAbsentHasTheDefaultOfTheProtocolAndNotWhatAnotherCustomerHas() throws Exception {
-        final Courier.Settings rich = config(HARBOUR, "h").settings();
-        final Config plain = config(CLINICS, "c");
-        final Courier.Settings settings = plain.settings();
-        final Courier.MessageClass lab = settings.classes().get(0);
-        assertEquals(Courier.Effect.UNSAFE, lab.effect(), "an effect that is not told may be the worst one");
-        assertFalse(lab.ordered());
-        assertFalse(lab.dedupPerZone());
-        assertEquals(0, lab.dedupWindowUs(), "no window, no repeat");
-        assertEquals(1, lab.value());
-        assertEquals(0, lab.lateValue());
-        assertEquals(lab.deadlineUs(), lab.targetUs(), "no aim but the deadline");
+    void absentSettingsHaveTheirDefaultsAndNotAnotherCustomersValues() throws Exception {
+        final Courier.Settings full = config(HARBOUR, "h").settings();
+        final Config minimalConfig = config(CLINICS, "c");
+        final Courier.Settings settings = minimalConfig.settings();
+        final Courier.MessageClass labResult = settings.classes().get(0);
+        assertEquals(Courier.Effect.UNSAFE, labResult.effect(), "without an effect the most restrictive one applies");
+        assertFalse(labResult.ordered());
+        assertFalse(labResult.dedupPerZone());
+        assertEquals(0, labResult.dedupWindowUs(), "no deduplication window by default");
+        assertEquals(1, labResult.value());
+        assertEquals(0, labResult.lateValue());
+        assertEquals(labResult.deadlineUs(), labResult.targetUs(), "the target defaults to the deadline");
         assertEquals(1, settings.fleetSize());
         assertEquals("", settings.zone());
         assertEquals(Courier.WeightMeaning.NONE, settings.weightMeaning());
         assertEquals(Courier.ValueDecay.LINEAR, settings.valueDecay());
         assertEquals(List.of(), settings.tenants());
         assertEquals(List.of(), settings.destinationKinds());
-        assertEquals(0, settings.ruleParameters().orderingDelayUs(), "an optional rule that is not there");
+        assertEquals(0, settings.ruleParameters().orderingDelayUs(), "an optional rule is off by default");
         assertEquals(1, settings.limits().streamsPerConnection());
-        assertFalse(settings.limits().canCancel(), "nothing is allowed that is not told");
+        assertFalse(settings.limits().canCancel(), "nothing is allowed by default");
         assertEquals(0, settings.limits().maxRetryAfterUs());
-        assertEquals(1_000_000, plain.connectTimeoutUs());
-        assertEquals(1024, plain.sockets());
-        assertNull(plain.mgmt());
+        assertEquals(1_000_000, minimalConfig.connectTimeoutUs());
+        assertEquals(1024, minimalConfig.sockets());
+        assertNull(minimalConfig.mgmt());
         final Courier.Limits limits = settings.limits();
         assertTrue(
                 limits.maxCalls() > 1_000_000
                         && limits.maxOpenMessages() > 1_000_000
                         && limits.maxAttempts() > 1_000_000,
-                "no limit is told: " + limits);
-        assertNotEquals(rich.limits().idleTimeoutUs(), limits.idleTimeoutUs());
+                "no limits are configured: " + limits);
+        assertNotEquals(full.limits().idleTimeoutUs(), limits.idleTimeoutUs());
     }
 
     @Test
-    void theOrderInWhichTwoCustomersAreReadChangesNeither() throws Exception {
+    void theOrderOfReadingTwoCustomersSettingsDoesNotMatter() throws Exception {
         final Courier.Settings harbourFirst = config(HARBOUR, "h").settings();
         final Courier.Settings clinicsSecond = config(CLINICS, "c").settings();
         final Courier.Settings clinicsFirst = config(CLINICS, "c").settings();
@@ -109,7 +107,7 @@
     }
 
     @Test
-    void twoCouriersInOneProcessKnowTheirOwnClassesAlone() throws Exception {
+    void twoCouriersInOneProcessKnowOnlyTheirOwnClasses() throws Exception {
         final EventLoopGroup group =
                 new MillisecondTimerLoopGroup(new DefaultThreadFactory("customers"), NioIoHandler.newFactory());
         final EventLoop loop = group.next();
@@ -125,40 +123,40 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    /** Decisions that only count what they ask for. */
-    private static final class Asked implements Courier.Actions {
-        private final List<String> sent = new ArrayList<>();
+    /** Records the actions that are requested. */
+    private static final class RecordedActions implements Courier.Actions {
+        private final List<String> requested = new ArrayList<>();
         private final List<Long> timeoutsUs = new ArrayList<>();
 
         @Override
         public void send(final String messageId, final long endpoint, final long timeoutUs) {
-            sent.add(messageId);
+            requested.add(messageId);
             timeoutsUs.add(timeoutUs);
         }
 
         @Override
         public void refuse(final String messageId, final long retryAfterUs) {
-            sent.add("refused " + messageId);
+            requested.add("refused " + messageId);
         }
 
         @Override
         public void fail(final String messageId) {
-            sent.add("failed " + messageId);
+            requested.add("failed " + messageId);
         }
 
         @Override
         public void cancel(final String messageId, final int attempt) {
-            sent.add("cancelled " + messageId);
+            requested.add("cancelled " + messageId);
         }
 
         @Override
         public void closeIdleConnections(final long endpoint) {
-            sent.add("closed " + endpoint);
+            requested.add("closed " + endpoint);
         }
 
         @Override
         public void subscribeToList() {
-            sent.add("follow");
+            requested.add("follow");
         }
 
         @Override
@@ -167,44 +165,47 @@
         }
     }
 
-    /** One message to a listed endpoint, and what was asked for. */
-    private static Asked play(final Control control, final Asked asked, final Courier.MessageClass kind) {
+    /** Submits one message for a listed endpoint and makes the decisions. */
+    private static RecordedActions decideOneMessage(
+            final Control control, final RecordedActions actions, final Courier.MessageClass messageClass) {
         control.onListUpdate(
                 1_000_000,
                 Courier.ListUpdate.FULL,
                 List.of(new Courier.Endpoint(1, Courier.Condition.LISTED, "", 0, -1, 7)));
         control.onMessage(
                 1_000_000,
-                new Courier.Message("m", 1, -1, kind.ordered() ? "key" : null, 1_000_000 + kind.deadlineUs(), 7));
+                new Courier.Message(
+                        "m", 1, -1, messageClass.ordered() ? "key" : null, 1_000_000 + messageClass.deadlineUs(), 7));
         control.decide(1_000_000);
-        return asked;
+        return actions;
     }
 
     @Test
-    void decisionsBesideThoseOfAnotherCustomerAreWhatTheyAreAlone() throws Exception {
+    void decisionsAreTheSameAlongsideAnotherCustomer() throws Exception {
         final Courier.Settings harbour = config(HARBOUR, "h").settings();
         final Courier.Settings clinics = config(CLINICS, "c").settings();
-        final Asked alone = new Asked();
-        play(new Control(clinics, 5, alone), alone, clinics.classes().get(1));
-        final Asked other = new Asked();
-        final Asked beside = new Asked();
+        final RecordedActions alone = new RecordedActions();
+        decideOneMessage(
+                new Control(clinics, 5, alone), alone, clinics.classes().get(1));
+        final RecordedActions other = new RecordedActions();
+        final RecordedActions together = new RecordedActions();
         final Control first = new Control(harbour, 5, other);
-        final Control second = new Control(clinics, 5, beside);
-        play(first, other, harbour.classes().get(1));
-        play(second, beside, clinics.classes().get(1));
-        assertEquals(alone.sent, beside.sent);
-        assertEquals(alone.timeoutsUs, beside.timeoutsUs);
-        assertNotEquals(other.timeoutsUs, beside.timeoutsUs, "the same name is another class there");
+        final Control second = new Control(clinics, 5, together);
+        decideOneMessage(first, other, harbour.classes().get(1));
+        decideOneMessage(second, together, clinics.classes().get(1));
+        assertEquals(alone.requested, together.requested);
+        assertEquals(alone.timeoutsUs, together.timeoutsUs);
+        assertNotEquals(other.timeoutsUs, together.timeoutsUs, "the class of the same name differs there");
     }
 
     @Test
-    void eachSettingThatIsTakenAwayLeavesTheOthersAsTheyWere() throws Exception {
-        final JsonNode whole = new ObjectMapper().readTree(HARBOUR.formatted(folder.resolve("h")));
+    void removingOneSettingDoesNotChangeTheOthers() throws Exception {
+        final JsonNode complete = new ObjectMapper().readTree(HARBOUR.formatted(folder.resolve("h")));
         for (final String name :
                 List.of("balancers", "my_zone", "weights", "tenants", "extra", "limits", "guarantees")) {
-            final JsonNode less = whole.deepCopy();
-            ((ObjectNode) less.path("settings")).remove(name);
-            final Courier.Settings settings = Config.parse(less, Map.of()).settings();
+            final JsonNode reduced = complete.deepCopy();
+            ((ObjectNode) reduced.path("settings")).remove(name);
+            final Courier.Settings settings = Config.parse(reduced, Map.of()).settings();
             assertEquals(2, settings.classes().size(), name);
             assertEquals(2_500_000, settings.classes().get(0).deadlineUs(), name);
         }
--- a/src/test/java/railspar/node/StallDetectorTest.java
+++ b/src/test/java/railspar/node/StallDetectorTest.java
@@ -10,21 +10,21 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What waits for a pass over the sockets after the loop has stood still. */
+/** Tasks wait for a read of the sockets after the event loop has stalled. */
 final class StallDetectorTest {
     private long nowUs = 1_000_000;
-    private final Deque<Runnable> later = new ArrayDeque<>();
-    private final StallDetector detector = new StallDetector(() -> nowUs, (task, delayMs) -> later.add(task));
+    private final Deque<Runnable> scheduled = new ArrayDeque<>();
+    private final StallDetector detector = new StallDetector(() -> nowUs, (task, delayMs) -> scheduled.add(task));
     private final List<String> sent = new ArrayList<>();
 
     private void readSockets() {
-        for (int left = later.size(); left > 0; left--) {
-            later.remove().run();
+        for (int remaining = scheduled.size(); remaining > 0; remaining--) {
+            scheduled.remove().run();
         }
     }
 
     @Test
-    void nothingIsSentBetweenAPauseAndTheNextPassOverTheSockets() {
+    void nothingIsSentBetweenAStallAndTheNextReadOfTheSockets() {
         nowUs += StallDetector.STALL_US + 1;
         detector.afterSocketReads(() -> sent.add("call"));
         assertEquals(List.of(), sent);
@@ -35,10 +35,10 @@
     }
 
     @Test
-    void aShortPauseHoldsNothingUp() {
+    void aShortPauseDelaysNothing() {
         nowUs += StallDetector.STALL_US;
         detector.afterSocketReads(() -> sent.add("call"));
         assertEquals(List.of("call"), sent);
-        assertTrue(later.isEmpty());
+        assertTrue(scheduled.isEmpty());
     }
 }
--- a/src/test/native/faults.c
+++ b/src/test/native/faults.c
@@ -1,6 +1,6 @@
 /*
- * Preloaded into a courier by tests: makes calls on the state folder and on sockets fail, and steps the wall clock, as a
- * shared page of numbers tells. FAULTS_PAGE names the file of that page, FAULTS_FOLDER the state folder.
+ * Preloaded into a courier by tests. Makes calls on the state folder and on sockets fail, and steps the wall clock, as set
+ * in a shared page of values. FAULTS_PAGE names the file of that page, FAULTS_FOLDER the state folder.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -20,30 +20,30 @@
 #include <time.h>
 #include <unistd.h>
 
-/* Numbers of the page, as FaultPage.java names them. */
+/* Indexes of the values in the page, in the order of FaultPage.Fault. */
 enum {
     CLOCK_STEP_S, OPEN_ERRNO, READ_ERRNO, WRITE_ERRNO, WRITE_EFFECT, WRITE_SHORT, RENAME_ERRNO, RENAME_EFFECT,
     TRUNCATE_ERRNO, UNLINK_ERRNO, ACCEPT_ERRNO, CONNECT_ERRNO, CONNECT_EFFECT, SOCKET_ERRNO, BIND_ERRNO, RECEIVE_ERRNO,
-    SEND_ERRNO, SEND_EFFECT, SEND_SHORT, SHUTDOWN_ERRNO, CLOSE_ERRNO, POLL_ERRNO, SOCKET_SCOPE, ONE_IN, NUMBERS
+    SEND_ERRNO, SEND_EFFECT, SEND_SHORT, SHUTDOWN_ERRNO, CLOSE_ERRNO, POLL_ERRNO, SOCKET_SCOPE, ONE_IN, VALUE_COUNT
 };
 
 /* Values of SOCKET_SCOPE: the sockets on which receiving, sending, shutting down and closing may fail. */
 enum { ALL_SOCKETS, ACCEPTED_SOCKETS, CONNECTED_SOCKETS };
 
-/* SEND_EFFECT: half of the bytes go out; other negative numbers stand for all. */
+/* Value of SEND_EFFECT: half of the bytes are sent. Other negative values mean all of them. */
 #define HALF_OF_THE_BYTES -2
 
-#define MOST_FILES 4096
+#define MAX_FILES 4096
 
-static volatile int64_t none[NUMBERS];
-static volatile int64_t *page = none;
+static volatile int64_t no_faults[VALUE_COUNT];
+static volatile int64_t *page = no_faults;
 static const char *folder;
-static unsigned char in_folder[MOST_FILES];
-/* Which sockets were accepted or connected, as values of SOCKET_SCOPE. */
-static unsigned char origin[MOST_FILES];
+static unsigned char in_folder[MAX_FILES];
+/* Whether a socket was accepted or connected, as a value of SOCKET_SCOPE. */
+static unsigned char origin[MAX_FILES];
 static unsigned calls;
 
-__attribute__((constructor)) static void begin(void) {
+__attribute__((constructor)) static void map_page(void) {
     const char *name = getenv("FAULTS_PAGE");
     folder = getenv("FAULTS_FOLDER");
     if (name == NULL) {
@@ -51,15 +51,15 @@
     }
     int (*real_open)(const char *, int, ...) = dlsym(RTLD_NEXT, "open");
     int file = real_open(name, O_RDONLY);
-    void *mapped = mmap(NULL, NUMBERS * sizeof(int64_t), PROT_READ, MAP_SHARED, file, 0);
+    void *mapped = mmap(NULL, VALUE_COUNT * sizeof(int64_t), PROT_READ, MAP_SHARED, file, 0);
     if (mapped != MAP_FAILED) {
         page = mapped;
     }
     close(file);
 }
 
-/* A number without a pattern: counted off, one call in N would always hit the same step of a loop that makes N calls. */
-static unsigned scattered(unsigned number) {
+/* Hashes the call number: failing every Nth call would always hit the same step of a loop that makes N calls. */
+static unsigned hashed(unsigned number) {
     number ^= number >> 16;
     number *= 0x7feb352dU;
     number ^= number >> 15;
@@ -67,21 +67,21 @@
     return number ^ number >> 16;
 }
 
-/* The error that a call of that kind fails with now, or 0; on average one call in so many where the page says so. */
+/* The error that a call of that kind fails with now, or 0; with ONE_IN set, on average one call in ONE_IN fails. */
 static int fault(int kind) {
     int64_t error = page[kind];
     if (error == 0) {
         return 0;
     }
     int64_t one_in = page[ONE_IN];
-    return one_in > 1 && scattered(__sync_add_and_fetch(&calls, 1)) % one_in != 0 ? 0 : (int) error;
+    return one_in > 1 && hashed(__sync_add_and_fetch(&calls, 1)) % one_in != 0 ? 0 : (int) error;
 }
 
-static int is_ours(int file) {
-    return file >= 0 && file < MOST_FILES && in_folder[file];
+static int is_in_folder(int file) {
+    return file >= 0 && file < MAX_FILES && in_folder[file];
 }
 
-static int names_folder(const char *path) {
+static int is_path_in_folder(const char *path) {
     return folder != NULL && path != NULL && strncmp(path, folder, strlen(folder)) == 0;
 }
 
@@ -107,13 +107,13 @@
         va_start(rest, flags); \
         int mode = va_arg(rest, int); \
         va_end(rest); \
-        int ours = names_folder(path); \
-        if (ours) { \
+        int in_state_folder = is_path_in_folder(path); \
+        if (in_state_folder) { \
             FAIL(OPEN_ERRNO); \
         } \
         int file = real(path, flags, mode); \
-        if (file >= 0 && file < MOST_FILES) { \
-            in_folder[file] = ours; \
+        if (file >= 0 && file < MAX_FILES) { \
+            in_folder[file] = in_state_folder; \
         } \
         return file; \
     }
@@ -126,25 +126,25 @@
 }
 
 static void set_origin(int file, int value) {
-    if (file >= 0 && file < MOST_FILES) {
+    if (file >= 0 && file < MAX_FILES) {
         origin[file] = value;
     }
 }
 
 /* True for a connection on which calls may fail now. */
 static int in_scope(int file) {
-    if (file < 0 || file >= MOST_FILES || origin[file] == 0) {
+    if (file < 0 || file >= MAX_FILES || origin[file] == 0) {
         return 0;
     }
     int64_t scope = page[SOCKET_SCOPE];
     return scope == ALL_SOCKETS || scope == origin[file];
 }
 
-/* A descriptor is free after close() whatever it returns. */
+/* A descriptor is free after close(), whatever close() returns. */
 int close(int file) {
     REAL(int, close, int)
     int fails = page[CLOSE_ERRNO] != 0 && in_scope(file);
-    if (file >= 0 && file < MOST_FILES) {
+    if (file >= 0 && file < MAX_FILES) {
         in_folder[file] = 0;
         origin[file] = 0;
     }
@@ -157,7 +157,7 @@
 
 ssize_t read(int file, void *into, size_t count) {
     REAL(ssize_t, read, int, void *, size_t)
-    if (is_ours(file)) {
+    if (is_in_folder(file)) {
         FAIL(READ_ERRNO);
     } else if (page[RECEIVE_ERRNO] != 0 && (page[SOCKET_SCOPE] == ALL_SOCKETS ? is_socket(file) : in_scope(file))) {
         FAIL(RECEIVE_ERRNO);
@@ -165,13 +165,13 @@
     return real(file, into, count);
 }
 
-/* How many bytes a send takes, as the page tells. */
-static size_t sent(size_t count, int error) {
-    int64_t most = error != 0 ? page[SEND_EFFECT] : page[SEND_SHORT] > 0 ? page[SEND_SHORT] : (int64_t) count;
-    if (most == HALF_OF_THE_BYTES) {
+/* How many bytes a send takes: at most SEND_SHORT or, if it fails, as SEND_EFFECT says. */
+static size_t bytes_to_send(size_t count, int error) {
+    int64_t max_bytes = error != 0 ? page[SEND_EFFECT] : page[SEND_SHORT] > 0 ? page[SEND_SHORT] : (int64_t) count;
+    if (max_bytes == HALF_OF_THE_BYTES) {
         return count / 2;
     }
-    return most < 0 || (uint64_t) most > count ? count : (size_t) most;
+    return max_bytes < 0 || (uint64_t) max_bytes > count ? count : (size_t) max_bytes;
 }
 
 ssize_t write(int file, const void *from, size_t count) {
@@ -180,7 +180,7 @@
         return real(file, from, count);
     }
     int error = fault(SEND_ERRNO);
-    size_t some = sent(count, error);
+    size_t some = bytes_to_send(count, error);
     ssize_t result = some > 0 || count == 0 ? real(file, from, some) : 0;
     if (error != 0) {
         errno = error;
@@ -199,8 +199,8 @@
     for (int part = 0; part < count; part++) {
         all += parts[part].iov_len;
     }
-    size_t left = sent(all, error);
-    ssize_t taken = 0;
+    size_t left = bytes_to_send(all, error);
+    ssize_t written = 0;
     for (int part = 0; part < count && left > 0; part++) {
         size_t some = parts[part].iov_len < left ? parts[part].iov_len : left;
         struct iovec one = {parts[part].iov_base, some};
@@ -208,7 +208,7 @@
         if (result < 0) {
             break;
         }
-        taken += result;
+        written += result;
         left -= some;
         if ((size_t) result < some) {
             break;
@@ -218,11 +218,11 @@
         errno = error;
         return -1;
     }
-    if (taken == 0 && all > 0) {
+    if (written == 0 && all > 0) {
         errno = EAGAIN;
         return -1;
     }
-    return taken;
+    return written;
 }
 
 int shutdown(int file, int how) {
@@ -233,16 +233,16 @@
     return real(file, how);
 }
 
-int epoll_wait(int poll, struct epoll_event *events, int most, int timeout) {
+int epoll_wait(int poll, struct epoll_event *events, int max_events, int timeout) {
     REAL(int, epoll_wait, int, struct epoll_event *, int, int)
     FAIL(POLL_ERRNO);
-    return real(poll, events, most, timeout);
+    return real(poll, events, max_events, timeout);
 }
 
 #define PREAD(name) \
     ssize_t name(int file, void *into, size_t count, off64_t at) { \
         REAL(ssize_t, name, int, void *, size_t, off64_t) \
-        if (is_ours(file)) { \
+        if (is_in_folder(file)) { \
             FAIL(READ_ERRNO); \
         } \
         return real(file, into, count, at); \
@@ -250,20 +250,20 @@
 PREAD(pread)
 PREAD(pread64)
 
-/* How many bytes a write takes: as the page bounds it, and as many as it says where the call fails. */
-static size_t taken(size_t count, int error) {
-    int64_t most = error != 0 ? page[WRITE_EFFECT] : page[WRITE_SHORT] > 0 ? page[WRITE_SHORT] : (int64_t) count;
-    return most < 0 || (uint64_t) most > count ? count : (size_t) most;
+/* How many bytes a write takes: at most WRITE_SHORT or, if it fails, as WRITE_EFFECT says. */
+static size_t bytes_to_write(size_t count, int error) {
+    int64_t max_bytes = error != 0 ? page[WRITE_EFFECT] : page[WRITE_SHORT] > 0 ? page[WRITE_SHORT] : (int64_t) count;
+    return max_bytes < 0 || (uint64_t) max_bytes > count ? count : (size_t) max_bytes;
 }
 
 #define PWRITE(name) \
     ssize_t name(int file, const void *from, size_t count, off64_t at) { \
         REAL(ssize_t, name, int, const void *, size_t, off64_t) \
-        if (!is_ours(file)) { \
+        if (!is_in_folder(file)) { \
             return real(file, from, count, at); \
         } \
         int error = fault(WRITE_ERRNO); \
-        size_t some = taken(count, error); \
+        size_t some = bytes_to_write(count, error); \
         ssize_t result = some > 0 ? real(file, from, some, at) : 0; \
         if (error != 0) { \
             errno = error; \
@@ -276,7 +276,7 @@
 
 int rename(const char *from, const char *to) {
     REAL(int, rename, const char *, const char *)
-    int error = names_folder(from) ? fault(RENAME_ERRNO) : 0;
+    int error = is_path_in_folder(from) ? fault(RENAME_ERRNO) : 0;
     if (error == 0) {
         return real(from, to);
     }
@@ -290,7 +290,7 @@
 #define TRUNCATE(name) \
     int name(int file, off64_t size) { \
         REAL(int, name, int, off64_t) \
-        if (is_ours(file)) { \
+        if (is_in_folder(file)) { \
             FAIL(TRUNCATE_ERRNO); \
         } \
         return real(file, size); \
@@ -300,7 +300,7 @@
 
 int unlink(const char *path) {
     REAL(int, unlink, const char *)
-    if (names_folder(path)) {
+    if (is_path_in_folder(path)) {
         FAIL(UNLINK_ERRNO);
     }
     return real(path);
