--- a/src/main/java/railspar/list/EndpointTable.java
+++ b/src/main/java/railspar/list/EndpointTable.java
@@ -10,81 +10,82 @@
 import railspar.Courier;
 
 /**
- * The endpoints in force, packed into arrays: about 70 bytes each, no object per endpoint. Names, ids and
- * destinations are looked up at a cost that does not depend on how many there are. An id holds for as long as the
- * name is known; it is never given to another endpoint. Destinations stay known once an entry has named them.
+ * The endpoints of the current list, packed into arrays: about 70 bytes per endpoint, no object per endpoint. Lookups
+ * by name, id and destination take constant time. An id is valid as long as its name is known, and is never assigned
+ * to another endpoint. A destination stays known once an entry has named it.
  */
 public final class EndpointTable {
+    /** The result of a lookup that finds no row, and the end of a chain of rows. */
     static final int NONE = -1;
 
     private static final byte FREE = 0;
-    /** Its id is in use, but no list names it. */
+    /** The row has a name and an id, but no list contains it. */
     private static final byte RESERVED = 1;
 
     private static final byte LISTED = 2;
     private static final byte DRAINING = 3;
-    private static final int FIRST_ROWS = 16;
-    /** Arrays grow by an eighth: what stands empty stays small, and each row is copied about eight times in all. */
-    private static final int GROWTH = 8;
+    private static final int INITIAL_ROWS = 16;
+    /** Arrays grow by an eighth: little capacity stays unused, and each row is copied about eight times in total. */
+    private static final int GROWTH_DIVISOR = 8;
 
-    private static final int LENGTH_BYTES = 2;
+    private static final int NAME_LENGTH_BYTES = 2;
     private static final long ROW_MASK = 0xFFFF_FFFFL;
 
-    private byte[] state = new byte[FIRST_ROWS];
-    private int[] generation = new int[FIRST_ROWS];
-    private int[] nameAt = new int[FIRST_ROWS];
-    private int[] ip = new int[FIRST_ROWS];
-    private char[] port = new char[FIRST_ROWS];
-    private char[] zone = new char[FIRST_ROWS];
-    private char[] kind = new char[FIRST_ROWS];
-    private double[] weight = new double[FIRST_ROWS];
-    private int[] destinationOf = new int[FIRST_ROWS];
-    /** The rows of a destination form a ring, in the order they came; free rows are chained by {@code next}. */
-    private int[] next = new int[FIRST_ROWS];
-
-    private int[] previous = new int[FIRST_ROWS];
-    private int rows;
-    private int firstFree = NONE;
-    private int named;
-    private int listed;
-
-    /** Each name behind its length, in UTF-8. */
-    private byte[] names = new byte[FIRST_ROWS * FIRST_ROWS];
-
-    private int namesEnd;
-    private int namesDead;
-    /** Rows plus one, by the hash of the name; open addressing. */
-    private int[] nameSlots = new int[2 * FIRST_ROWS];
-
-    private long[] destinations = new long[FIRST_ROWS];
+    private byte[] state = new byte[INITIAL_ROWS];
+    private int[] generation = new int[INITIAL_ROWS];
+    private int[] nameOffset = new int[INITIAL_ROWS];
+    private int[] ip = new int[INITIAL_ROWS];
+    private char[] port = new char[INITIAL_ROWS];
+    private char[] zone = new char[INITIAL_ROWS];
+    private char[] kind = new char[INITIAL_ROWS];
+    private double[] weight = new double[INITIAL_ROWS];
+    private int[] destinationOf = new int[INITIAL_ROWS];
+    /** The rows of a destination form a ring in insertion order; free rows are chained by {@code next}. */
+    private int[] next = new int[INITIAL_ROWS];
+
+    private int[] previous = new int[INITIAL_ROWS];
+    private int rowCount;
+    private int firstFreeRow = NONE;
+    private int nameCount;
+    private int listedCount;
+
+    /** The names in UTF-8, each preceded by its length. */
+    private byte[] nameBytes = new byte[INITIAL_ROWS * INITIAL_ROWS];
+
+    private int nameBytesEnd;
+    private int deadNameBytes;
+    /** Row plus one, by the hash of its name; open addressing. */
+    private int[] nameSlots = new int[2 * INITIAL_ROWS];
+
+    private long[] destinations = new long[INITIAL_ROWS];
     /** The first row of each destination's ring, or {@link #NONE}. */
-    private int[] firstRow = new int[FIRST_ROWS];
+    private int[] firstRow = new int[INITIAL_ROWS];
 
     private int destinationCount;
-    private int[] destinationSlots = new int[2 * FIRST_ROWS];
+    private int[] destinationSlots = new int[2 * INITIAL_ROWS];
 
     private final TextDictionary zones = new TextDictionary();
     private final TextDictionary kinds = new TextDictionary();
     private long version;
-    private long visited;
+    private long entriesVisited;
 
-    // ---------------------------------------------------------------- what is asked
+    // ---------------------------------------------------------------- queries
 
-    /** The version of the list in force; 0 before there is one. */
+    /** The version of the current list; 0 before the first one. */
     public long version() {
         return version;
     }
 
-    /** Endpoints in the list. */
+    /** Number of endpoints in the list. */
     public int size() {
-        return listed;
+        return listedCount;
     }
 
-    /** Heap that its arrays and dictionaries take. */
+    /** Heap bytes of the arrays and dictionaries. */
     public long bytes() {
         final long perRow = 1 + 4 * 6 + 2 * 3 + 8;
         return perRow * state.length
-                + names.length
+                + nameBytes.length
                 + 4L * nameSlots.length
                 + 12L * destinations.length
                 + 4L * destinationSlots.length
@@ -92,41 +93,41 @@
                 + kinds.bytes();
     }
 
-    /** Entries and rows that updates have looked at so far, for tests that count the work of a change. */
+    /** Number of entries and rows that updates have visited so far; tests measure the cost of a change by it. */
     public long entriesVisited() {
-        return visited;
+        return entriesVisited;
     }
 
-    /** True for an endpoint that the list names. */
+    /** True if the list contains the endpoint. */
     public boolean isListed(final long endpoint) {
         final int row = row(endpoint);
         return row != NONE && state[row] >= LISTED;
     }
 
-    /** The id of the endpoint of that name, listed or reserved; null where there is none. */
+    /** The id of the endpoint with the given name, listed or reserved; null if there is none. */
     public Long idOf(final String name) {
-        final int row = find(name);
+        final int row = findRow(name);
         return row == NONE ? null : id(row);
     }
 
-    /** As above; a name that is not known is given an id without being listed. */
+    /** The id of the endpoint with the given name; an unknown name is assigned an id without being listed. */
     public long reserve(final String name) {
-        final int row = find(name);
+        final int row = findRow(name);
         if (row != NONE) {
             return id(row);
         }
         final byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
-        final int fresh = newRow(bytes, 0, bytes.length);
-        state[fresh] = RESERVED;
-        return id(fresh);
+        final int added = newRow(bytes, 0, bytes.length);
+        state[added] = RESERVED;
+        return id(added);
     }
 
-    /** The name of an endpoint, or an empty text. */
+    /** The name of an endpoint, or an empty string if it is unknown. */
     public String nameOf(final long endpoint) {
         final int row = row(endpoint);
         return row == NONE
                 ? ""
-                : new String(names, nameAt[row] + LENGTH_BYTES, nameLength(row), StandardCharsets.UTF_8);
+                : new String(nameBytes, nameOffset[row] + NAME_LENGTH_BYTES, nameLength(row), StandardCharsets.UTF_8);
     }
 
     /** The zone of a listed endpoint. */
@@ -134,7 +135,7 @@
         return zones.textOf(zone[listedRow(endpoint)]);
     }
 
-    /** The name of the kind of a listed endpoint. */
+    /** The name of a listed endpoint's destination kind. */
     public String kindOf(final long endpoint) {
         return kinds.textOf(kind[listedRow(endpoint)]);
     }
@@ -154,29 +155,29 @@
         return condition(listedRow(endpoint));
     }
 
-    /** Where a listed endpoint is called. */
+    /** The address of a listed endpoint. */
     public InetSocketAddress addressOf(final long endpoint) {
         final int row = listedRow(endpoint);
         try {
-            final byte[] figures =
+            final byte[] octets =
                     ByteBuffer.allocate(Integer.BYTES).putInt(ip[row]).array();
-            return new InetSocketAddress(InetAddress.getByAddress(figures), port[row]);
+            return new InetSocketAddress(InetAddress.getByAddress(octets), port[row]);
         } catch (final UnknownHostException e) {
-            throw new IllegalStateException("four bytes are an address", e);
+            throw new IllegalStateException("a 4-byte address was rejected", e);
         }
     }
 
-    /** True for a destination that any list so far has named. */
+    /** True if any list so far has named the destination. */
     public boolean knowsDestination(final long destination) {
         return destinationSlots[destinationSlot(destination)] != 0;
     }
 
-    /** Destinations that any list so far has named. */
+    /** Number of destinations that lists have named so far. */
     public int destinationCount() {
         return destinationCount;
     }
 
-    /** Visits the ids of the endpoints of a destination, in the order in which they came. */
+    /** Visits the ids of a destination's endpoints, in the order in which they were added. */
     public void forEachOfDestination(final long destination, final LongConsumer visitor) {
         final int index = destinationSlots[destinationSlot(destination)] - 1;
         if (index == NONE || firstRow[index] == NONE) {
@@ -192,17 +193,17 @@
 
     /** Visits the ids of all listed endpoints. */
     public void forEach(final LongConsumer visitor) {
-        for (int row = 0; row < rows; row++) {
+        for (int row = 0; row < rowCount; row++) {
             if (state[row] >= LISTED) {
                 visitor.accept(id(row));
             }
         }
     }
 
-    // ---------------------------------------------------------------- rows, for those that update or store the table
+    // ---------------------------------------------------------------- rows, for updates and for the stored list
 
-    int rows() {
-        return rows;
+    int rowCount() {
+        return rowCount;
     }
 
     boolean isListedRow(final int row) {
@@ -213,18 +214,20 @@
         return (long) generation[row] << Integer.SIZE | row + 1;
     }
 
-    /** The row of an id, or {@link #NONE}. */
+    /** The row of an endpoint id, or {@link #NONE}. */
     int row(final long endpoint) {
         final int row = (int) ((endpoint & ROW_MASK) - 1);
-        final boolean known =
-                row >= 0 && row < rows && state[row] != FREE && generation[row] == (int) (endpoint >>> Integer.SIZE);
+        final boolean known = row >= 0
+                && row < rowCount
+                && state[row] != FREE
+                && generation[row] == (int) (endpoint >>> Integer.SIZE);
         return known ? row : NONE;
     }
 
     private int listedRow(final long endpoint) {
         final int row = row(endpoint);
         if (row == NONE || state[row] < LISTED) {
-            throw new IllegalArgumentException("no list names endpoint " + endpoint);
+            throw new IllegalArgumentException("endpoint " + endpoint + " is not in the list");
         }
         return row;
     }
@@ -233,26 +236,26 @@
         return state[row] == LISTED ? Courier.Condition.LISTED : Courier.Condition.DRAINING;
     }
 
-    /** True if the listed row is called at that address. */
+    /** True if the listed row has the address of the entry. */
     boolean hasAddressOf(final int row, final StagedEntry entry) {
         return ip[row] == entry.ip && port[row] == entry.port;
     }
 
-    /** Fills in an entry from a listed row; its zone and kind are numbers of this table's dictionaries. */
-    void read(final int row, final StagedEntry into) {
-        into.nameBytes = names;
-        into.nameFrom = nameAt[row] + LENGTH_BYTES;
-        into.nameLength = nameLength(row);
-        into.condition = condition(row);
-        into.hasDestination = true;
-        into.hasAddress = true;
-        into.ip = ip[row];
-        into.port = port[row];
-        into.zone = zone[row];
-        into.kind = kind[row];
-        into.destination = destinations[destinationOf[row]];
-        into.weight = weight[row];
-        into.problem = null;
+    /** Copies a listed row into an entry; its zone and kind are numbers of this table's dictionaries. */
+    void readEntry(final int row, final StagedEntry target) {
+        target.nameBytes = nameBytes;
+        target.nameFrom = nameOffset[row] + NAME_LENGTH_BYTES;
+        target.nameLength = nameLength(row);
+        target.condition = condition(row);
+        target.hasDestination = true;
+        target.hasAddress = true;
+        target.ip = ip[row];
+        target.port = port[row];
+        target.zone = zone[row];
+        target.kind = kind[row];
+        target.destination = destinations[destinationOf[row]];
+        target.weight = weight[row];
+        target.problem = null;
     }
 
     TextDictionary zones() {
@@ -263,43 +266,43 @@
         return kinds;
     }
 
-    void setVersion(final long told) {
-        version = told;
+    void setVersion(final long newVersion) {
+        version = newVersion;
     }
 
     void countVisit() {
-        visited++;
+        entriesVisited++;
     }
 
-    int find(final StagedEntry entry) {
+    int findRow(final StagedEntry entry) {
         return nameSlots[nameSlot(entry.nameBytes, entry.nameFrom, entry.nameLength)] - 1;
     }
 
-    private int find(final String name) {
+    private int findRow(final String name) {
         final byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
         return nameSlots[nameSlot(bytes, 0, bytes.length)] - 1;
     }
 
-    /** Adds a row for that name, with nothing in it yet. */
+    /** Adds a row for a name; its other fields are not set yet. */
     int newRow(final byte[] name, final int from, final int length) {
-        final int row = firstFree == NONE ? rows++ : firstFree;
+        final int row = firstFreeRow == NONE ? rowCount++ : firstFreeRow;
         if (row == state.length) {
             growRows();
         }
-        if (row == firstFree) {
-            firstFree = next[row];
+        if (row == firstFreeRow) {
+            firstFreeRow = next[row];
         }
-        nameAt[row] = append(name, from, length);
+        nameOffset[row] = appendName(name, from, length);
         destinationOf[row] = NONE;
         state[row] = RESERVED;
-        named++;
+        nameCount++;
         growNameSlots();
         nameSlots[nameSlot(name, from, length)] = row + 1;
         return row;
     }
 
-    /** Writes an entry into a row, which is listed from then on; true if anything but the address has changed. */
-    boolean set(final int row, final StagedEntry entry, final int zoneNumber, final int kindNumber) {
+    /** Writes an entry into a row, which is then listed; true if anything other than the address has changed. */
+    boolean setEntry(final int row, final StagedEntry entry, final int zoneNumber, final int kindNumber) {
         final boolean wasListed = state[row] >= LISTED;
         final byte condition = entry.condition == Courier.Condition.LISTED ? LISTED : DRAINING;
         final int destination = destinationIndex(entry.destination);
@@ -310,7 +313,7 @@
                 && kind[row] == kindNumber
                 && weight[row] == entry.weight;
         if (!wasListed) {
-            listed++;
+            listedCount++;
         }
         state[row] = condition;
         zone[row] = (char) zoneNumber;
@@ -327,32 +330,32 @@
         return !same;
     }
 
-    /** Changes only the condition of a listed row; true if it was another one. */
+    /** Changes only the condition of a listed row; true if the condition was different. */
     boolean setCondition(final int row, final Courier.Condition condition) {
         final byte before = state[row];
         state[row] = condition == Courier.Condition.LISTED ? LISTED : DRAINING;
         return before != state[row];
     }
 
-    /** Forgets a row, and with it the name and its id. */
+    /** Frees a row, with its name and its id. */
     void remove(final int row) {
         removeName(row);
         unlink(row);
         if (state[row] >= LISTED) {
-            listed--;
+            listedCount--;
         }
-        named--;
+        nameCount--;
         state[row] = FREE;
         generation[row]++;
-        next[row] = firstFree;
-        firstFree = row;
+        next[row] = firstFreeRow;
+        firstFreeRow = row;
     }
 
     private void growRows() {
-        final int capacity = grown(state.length, FIRST_ROWS);
+        final int capacity = grownCapacity(state.length, INITIAL_ROWS);
         state = Arrays.copyOf(state, capacity);
         generation = Arrays.copyOf(generation, capacity);
-        nameAt = Arrays.copyOf(nameAt, capacity);
+        nameOffset = Arrays.copyOf(nameOffset, capacity);
         ip = Arrays.copyOf(ip, capacity);
         port = Arrays.copyOf(port, capacity);
         zone = Arrays.copyOf(zone, capacity);
@@ -363,47 +366,48 @@
         previous = Arrays.copyOf(previous, capacity);
     }
 
-    private static int grown(final int capacity, final int least) {
-        return capacity + Math.max(least, capacity / GROWTH);
+    private static int grownCapacity(final int capacity, final int minGrowth) {
+        return capacity + Math.max(minGrowth, capacity / GROWTH_DIVISOR);
     }
 
     // ---------------------------------------------------------------- names
 
     private int nameLength(final int row) {
-        return (names[nameAt[row]] & 0xFF) << Byte.SIZE | names[nameAt[row] + 1] & 0xFF;
+        return (nameBytes[nameOffset[row]] & 0xFF) << Byte.SIZE | nameBytes[nameOffset[row] + 1] & 0xFF;
     }
 
-    private int append(final byte[] name, final int from, final int length) {
-        final int needed = LENGTH_BYTES + length;
-        if (namesEnd + needed > names.length) {
-            names = Arrays.copyOf(names, grown(names.length, needed));
+    private int appendName(final byte[] name, final int from, final int length) {
+        final int needed = NAME_LENGTH_BYTES + length;
+        if (nameBytesEnd + needed > nameBytes.length) {
+            nameBytes = Arrays.copyOf(nameBytes, grownCapacity(nameBytes.length, needed));
         }
-        final int at = namesEnd;
-        names[at] = (byte) (length >> Byte.SIZE);
-        names[at + 1] = (byte) length;
-        System.arraycopy(name, from, names, at + LENGTH_BYTES, length);
-        namesEnd += needed;
-        return at;
+        final int offset = nameBytesEnd;
+        nameBytes[offset] = (byte) (length >> Byte.SIZE);
+        nameBytes[offset + 1] = (byte) length;
+        System.arraycopy(name, from, nameBytes, offset + NAME_LENGTH_BYTES, length);
+        nameBytesEnd += needed;
+        return offset;
     }
 
     private int nameSlot(final byte[] name, final int from, final int length) {
         int slot = NameHash.of(name, from, length) & nameSlots.length - 1;
-        while (nameSlots[slot] != 0 && !isNamed(nameSlots[slot] - 1, name, from, length)) {
+        while (nameSlots[slot] != 0 && !hasName(nameSlots[slot] - 1, name, from, length)) {
             slot = slot + 1 & nameSlots.length - 1;
         }
         return slot;
     }
 
-    private boolean isNamed(final int row, final byte[] name, final int from, final int length) {
-        return nameLength(row) == length && NameHash.same(names, nameAt[row] + LENGTH_BYTES, name, from, length);
+    private boolean hasName(final int row, final byte[] name, final int from, final int length) {
+        return nameLength(row) == length
+                && NameHash.same(nameBytes, nameOffset[row] + NAME_LENGTH_BYTES, name, from, length);
     }
 
     private int homeSlot(final int row) {
-        return NameHash.of(names, nameAt[row] + LENGTH_BYTES, nameLength(row)) & nameSlots.length - 1;
+        return NameHash.of(nameBytes, nameOffset[row] + NAME_LENGTH_BYTES, nameLength(row)) & nameSlots.length - 1;
     }
 
     private void growNameSlots() {
-        if (4L * named <= 3L * nameSlots.length) {
+        if (4L * nameCount <= 3L * nameSlots.length) {
             return;
         }
         final int[] old = nameSlots;
@@ -419,10 +423,10 @@
         }
     }
 
-    /** Closes the gap by moving back those that were pushed on by the one removed. */
+    /** Removes the name's slot and moves entries that were displaced by it back towards their home slots. */
     private void removeName(final int row) {
         final int mask = nameSlots.length - 1;
-        int gap = nameSlot(names, nameAt[row] + LENGTH_BYTES, nameLength(row));
+        int gap = nameSlot(nameBytes, nameOffset[row] + NAME_LENGTH_BYTES, nameLength(row));
         for (int slot = gap + 1 & mask; nameSlots[slot] != 0; slot = slot + 1 & mask) {
             final int home = homeSlot(nameSlots[slot] - 1);
             if ((slot - home & mask) >= (slot - gap & mask)) {
@@ -431,23 +435,23 @@
             }
         }
         nameSlots[gap] = 0;
-        namesDead += LENGTH_BYTES + nameLength(row);
+        deadNameBytes += NAME_LENGTH_BYTES + nameLength(row);
     }
 
-    /** Drops the names of removed rows once they take more than half; the cost is spread over those removals. */
+    /** Drops the names of removed rows once they take over half of the bytes: the cost is amortised. */
     void compactNames() {
-        if (2 * namesDead <= namesEnd || namesDead < FIRST_ROWS * FIRST_ROWS) {
+        if (2 * deadNameBytes <= nameBytesEnd || deadNameBytes < INITIAL_ROWS * INITIAL_ROWS) {
             return;
         }
-        final byte[] old = names;
-        names = new byte[namesEnd - namesDead];
-        namesEnd = 0;
-        namesDead = 0;
-        for (int row = 0; row < rows; row++) {
+        final byte[] old = nameBytes;
+        nameBytes = new byte[nameBytesEnd - deadNameBytes];
+        nameBytesEnd = 0;
+        deadNameBytes = 0;
+        for (int row = 0; row < rowCount; row++) {
             if (state[row] != FREE) {
-                final int at = nameAt[row];
-                final int length = (old[at] & 0xFF) << Byte.SIZE | old[at + 1] & 0xFF;
-                nameAt[row] = append(old, at + LENGTH_BYTES, length);
+                final int offset = nameOffset[row];
+                final int length = (old[offset] & 0xFF) << Byte.SIZE | old[offset + 1] & 0xFF;
+                nameOffset[row] = appendName(old, offset + NAME_LENGTH_BYTES, length);
             }
         }
     }
@@ -462,14 +466,14 @@
         return slot;
     }
 
-    /** The index of a destination, which is remembered from now on. */
+    /** The index of a destination; an unknown destination is added. */
     int destinationIndex(final long destination) {
         final int slot = destinationSlot(destination);
         if (destinationSlots[slot] != 0) {
             return destinationSlots[slot] - 1;
         }
         if (destinationCount == destinations.length) {
-            final int capacity = grown(destinations.length, FIRST_ROWS);
+            final int capacity = grownCapacity(destinations.length, INITIAL_ROWS);
             destinations = Arrays.copyOf(destinations, capacity);
             firstRow = Arrays.copyOf(firstRow, capacity);
         }
--- a/src/main/java/railspar/list/EntryReader.java
+++ b/src/main/java/railspar/list/EntryReader.java
@@ -5,64 +5,64 @@
 import java.io.IOException;
 import railspar.Courier;
 
-/** Reads one entry of the list from its fields, which may come in any order. */
+/** Reads one entry of the list from its JSON fields, which may come in any order. */
 final class EntryReader {
-    private static final int MOST_PORT = 65_535;
-    private static final int MOST_OCTET = 255;
-    private static final int OCTETS = 4;
-    /** Bytes of UTF-8 that one char can take. */
-    private static final int BYTES_PER_CHAR = 3;
+    private static final int MAX_PORT = 65_535;
+    private static final int MAX_OCTET = 255;
+    private static final int ADDRESS_OCTETS = 4;
+    /** A Java char takes at most three bytes in UTF-8. */
+    private static final int MAX_UTF8_BYTES_PER_CHAR = 3;
 
     private final StagedEntry entry = new StagedEntry();
     private String name;
-    private String dial;
+    private String address;
     private String zone;
     private String kind;
     private String health;
 
-    /** Begins an entry. */
+    /** Starts a new entry and clears the fields of the previous one. */
     void begin() {
         entry.hasDestination = false;
         entry.weight = 0;
         entry.destination = 0;
         name = "";
-        dial = "";
+        address = "";
         zone = "";
         kind = "";
         health = "";
     }
 
-    /** Takes a field with a plain value. */
+    /** Reads a field with a scalar value. */
     void readField(final String field, final JsonToken token, final JsonParser value) throws IOException {
         switch (field) {
-            case "host" -> name = text(token, value);
-            case "dial" -> dial = text(token, value);
-            case "site" -> zone = text(token, value);
-            case "class" -> kind = text(token, value);
-            case "health" -> health = text(token, value);
-            case "share" -> entry.weight = weight(token, value);
-            case "block" -> destination(token, value);
+            case "host" -> name = readText(token, value);
+            case "dial" -> address = readText(token, value);
+            case "site" -> zone = readText(token, value);
+            case "class" -> kind = readText(token, value);
+            case "health" -> health = readText(token, value);
+            case "share" -> entry.weight = readWeight(token, value);
+            case "block" -> readDestination(token, value);
             default -> {
-                // Fields that a newer discovery adds mean nothing here.
+                // Unknown fields, which a newer version of discovery may send, are ignored.
             }
         }
     }
 
-    private static String text(final JsonToken token, final JsonParser value) throws IOException {
+    private static String readText(final JsonToken token, final JsonParser value) throws IOException {
         return token == JsonToken.VALUE_NULL ? "" : value.getText();
     }
 
-    private static double weight(final JsonToken token, final JsonParser value) throws IOException {
+    private static double readWeight(final JsonToken token, final JsonParser value) throws IOException {
         final double weight;
         if (token.isNumeric()) {
             weight = value.getDoubleValue();
         } else {
-            weight = number(text(token, value));
+            weight = parseWeight(readText(token, value));
         }
         return Double.isFinite(weight) ? Math.max(0, weight) : 0;
     }
 
-    private static double number(final String text) {
+    private static double parseWeight(final String text) {
         try {
             return Double.parseDouble(text);
         } catch (final NumberFormatException e) {
@@ -70,7 +70,7 @@
         }
     }
 
-    private void destination(final JsonToken token, final JsonParser value) throws IOException {
+    private void readDestination(final JsonToken token, final JsonParser value) throws IOException {
         entry.hasDestination = false;
         if (token == JsonToken.VALUE_NUMBER_INT) {
             entry.hasDestination = value.getNumberType() != JsonParser.NumberType.BIG_INTEGER;
@@ -81,12 +81,12 @@
         entry.destination = entry.hasDestination ? value.getLongValue() : 0;
     }
 
-    /** Ends the entry; false for one without a name that could be used, which nothing can be made of. */
+    /** Completes the entry and adds it to the list; false, without adding it, if it has no name or too long a text. */
     boolean end(final StagedList list) throws ListFormatException {
         if (name.isEmpty() || isTooLong()) {
             return false;
         }
-        entry.name(name);
+        entry.setName(name);
         entry.condition = condition();
         entry.hasAddress = readAddress();
         entry.zone = list.zones().numberOf(zone);
@@ -96,27 +96,28 @@
         return true;
     }
 
-    /** What is wrong with the entry that has ended. */
+    /** What is wrong with the completed entry, or null. */
     String problemText() {
         if (isTooLong()) {
-            return "a name, zone or kind of more than " + StagedList.MOST_TEXT_BYTES / BYTES_PER_CHAR + " characters";
+            return "'host', 'site' or 'class' has more than " + StagedList.MAX_TEXT_BYTES / MAX_UTF8_BYTES_PER_CHAR
+                    + " characters";
         }
         if (name.isEmpty() || !entry.hasDestination) {
-            return said();
+            return missingFieldProblem();
         }
         if (entry.condition == null) {
-            return "unknown health '" + health + "' of " + name;
+            return "'health' has the unknown value '" + health + "' for " + name;
         }
-        return entry.hasAddress ? null : "'dial' is no address: '" + dial + "'";
+        return entry.hasAddress ? null : "'dial' is not an IPv4 address with a port: '" + address + "'";
     }
 
-    private String said() {
-        return "an entry without a host or a block: '" + name + "' at '" + dial + "'";
+    private String missingFieldProblem() {
+        return "'host' is missing or 'block' is not an integer: host '" + name + "', dial '" + address + "'";
     }
 
     private boolean isTooLong() {
-        return Math.max(name.length(), Math.max(zone.length(), kind.length())) * BYTES_PER_CHAR
-                > StagedList.MOST_TEXT_BYTES;
+        return Math.max(name.length(), Math.max(zone.length(), kind.length())) * MAX_UTF8_BYTES_PER_CHAR
+                > StagedList.MAX_TEXT_BYTES;
     }
 
     private Courier.Condition condition() {
@@ -128,39 +129,39 @@
         };
     }
 
-    /** Reads an address in figures with its port; false where it is none. */
+    /** Parses an IPv4 address in dotted decimal with a port; false if the text is not one. */
     private boolean readAddress() {
-        final int colon = dial.lastIndexOf(':');
+        final int colon = address.lastIndexOf(':');
         if (colon < 0) {
             return false;
         }
-        final int port = figures(dial, colon + 1, dial.length(), MOST_PORT);
-        int address = 0;
+        final int port = parseDecimal(address, colon + 1, address.length(), MAX_PORT);
+        int ip = 0;
         int from = 0;
-        for (int octet = 0; octet < OCTETS; octet++) {
-            final int dot = octet == OCTETS - 1 ? colon : dial.indexOf('.', from);
-            final int figure = dot < 0 || dot > colon ? -1 : figures(dial, from, dot, MOST_OCTET);
-            if (figure < 0) {
+        for (int octet = 0; octet < ADDRESS_OCTETS; octet++) {
+            final int dot = octet == ADDRESS_OCTETS - 1 ? colon : address.indexOf('.', from);
+            final int value = dot < 0 || dot > colon ? -1 : parseDecimal(address, from, dot, MAX_OCTET);
+            if (value < 0) {
                 return false;
             }
-            address = address << Byte.SIZE | figure;
+            ip = ip << Byte.SIZE | value;
             from = dot + 1;
         }
-        entry.ip = address;
+        entry.ip = ip;
         entry.port = Math.max(0, port);
         return port >= 0;
     }
 
-    /** The number that these characters say, or -1. */
-    private static int figures(final String text, final int from, final int to, final int most) {
+    /** The decimal number in a range of the text, or -1 if it is not a number from 0 to {@code max}. */
+    private static int parseDecimal(final String text, final int from, final int to, final int max) {
         int number = 0;
         for (int index = from; index < to; index++) {
-            final int figure = text.charAt(index) - '0';
-            if (figure < 0 || figure > 9) {
+            final int digit = text.charAt(index) - '0';
+            if (digit < 0 || digit > 9) {
                 return -1;
             }
-            number = number * 10 + figure;
-            if (number > most) {
+            number = number * 10 + digit;
+            if (number > max) {
                 return -1;
             }
         }
--- a/src/main/java/railspar/list/ListFormatException.java
+++ b/src/main/java/railspar/list/ListFormatException.java
@@ -2,33 +2,33 @@
 
 import java.io.IOException;
 
-/** A list that cannot be taken. It has changed nothing. */
+/** A list that cannot be read or applied. The current list is unchanged. */
 public final class ListFormatException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    /** The kinds of fault. */
+    /** What is wrong with the list. */
     public enum Fault {
-        /** Not JSON, or not an object. */
+        /** The input is not JSON, or not a JSON object. */
         MALFORMED,
-        /** An object ends before it is whole. */
+        /** The input ends, or an empty line comes, before the object is complete. */
         TRUNCATED,
-        /** One object names an endpoint twice. */
+        /** One object contains two entries for the same endpoint. */
         REPEATED_ENTRY,
-        /** An object needs more bytes than the caller allows. */
+        /** An object exceeds the size limits. */
         TOO_LARGE,
-        /** A version lower than the one in force. */
+        /** The version is lower than that of the current list. */
         OLDER_VERSION
     }
 
     private final Fault fault;
 
-    /** Names the fault and says what was found. */
+    /** Creates an exception for a fault, with a message that describes what was found. */
     public ListFormatException(final Fault fault, final String message) {
         super(message);
         this.fault = fault;
     }
 
-    /** The kind of fault. */
+    /** What is wrong with the list. */
     public Fault fault() {
         return fault;
     }
--- a/src/main/java/railspar/list/ListParser.java
+++ b/src/main/java/railspar/list/ListParser.java
@@ -11,37 +11,38 @@
 import railspar.list.ListFormatException.Fault;
 
 /**
- * Reads lists from bytes as they come, one JSON object after another, each over one line or several. It holds no
- * line: what an object has told so far is staged, and given away once the object is whole. An empty line between
- * objects says that the sender lives. After a fault it must not be fed again.
+ * Incremental parser for a stream of lists: JSON objects one after another, each on one or several lines. It does not
+ * buffer lines: entries are staged as they are read, and the list is passed on once its object is complete. An empty
+ * line between objects is a heartbeat. After it has thrown an exception, the parser must not be fed again.
  */
 public final class ListParser {
     /**
-     * Bytes that an object may have, for each byte that there is to stage it: an entry has about three times as many
-     * as it takes staged. What is skipped counts as well, or an object that never ends would be read for ever.
+     * Input bytes that an object may have for each byte of the staging budget. An entry takes about three times as
+     * many bytes in the input as staged. Skipped input counts as well, or an object that never ends would be read
+     * forever.
      */
-    private static final int TOLD_PER_STAGED = 8;
+    private static final int INPUT_BYTES_PER_STAGED_BYTE = 8;
 
-    private static final int MOST_STRING_CHARS = 1 << 16;
-    private static final int MOST_NAME_CHARS = 1 << 10;
+    private static final int MAX_STRING_CHARS = 1 << 16;
+    private static final int MAX_FIELD_NAME_CHARS = 1 << 10;
 
-    /** Where in the object the next token lies. */
-    private enum Place {
+    /** The part of the input that the next token belongs to. */
+    private enum Context {
         OUTSIDE,
         LIST,
         ENTRIES,
         ENTRY
     }
 
-    /** Who hears what has been read. */
+    /** Receives what the parser has read. */
     public interface Listener {
-        /** An object is whole. */
+        /** A list has been read completely. */
         void onList(StagedList list) throws IOException;
 
-        /** An empty line between objects. */
+        /** An empty line between objects has been read. */
         void onHeartbeat() throws IOException;
 
-        /** An entry has no name; the others are not touched by that. */
+        /** An entry is not an object or has no usable name; the other entries of the list are kept. */
         void onUnusableEntry(String problem);
     }
 
@@ -49,78 +50,81 @@
     private final long budgetBytes;
     private final JsonParser tokens;
     private final ByteArrayFeeder feeder;
-    private final EntryReader entry = new EntryReader();
+    private final EntryReader entryReader = new EntryReader();
 
-    private Place place = Place.OUTSIDE;
+    private Context context = Context.OUTSIDE;
     private StagedList list;
     private String field = "";
-    /** Depth of what is being skipped. */
-    private int skipped;
-    /** Bytes since the last object or empty line. */
-    private long told;
+    /** Nesting depth inside a value that is being skipped; 0 while nothing is skipped. */
+    private int skipDepth;
+    /** Bytes read since the last complete object or empty line. */
+    private long inputBytes;
 
     private boolean lineBlank = true;
 
-    /** Reads for that listener, with so much heap at most for what is staged. */
+    /** Creates a parser that uses at most {@code budgetBytes} of heap for the list that it is reading. */
     public ListParser(final long budgetBytes, final Listener listener) {
         this.listener = listener;
         this.budgetBytes = budgetBytes;
         try {
             this.tokens = factory().createNonBlockingByteArrayParser();
         } catch (final IOException e) {
-            throw new IllegalStateException("a parser needs no input", e);
+            throw new IllegalStateException("creating a parser without input failed", e);
         }
         this.feeder = (ByteArrayFeeder) tokens.getNonBlockingInputFeeder();
     }
 
-    /** A factory of its own for each parser: names that a sender makes up are forgotten with it. */
+    /** Each parser has its own factory: its cache of field names, which the sender chooses, is freed with it. */
     private static JsonFactory factory() {
         return new JsonFactoryBuilder()
                 .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
                 .streamReadConstraints(StreamReadConstraints.builder()
-                        .maxStringLength(MOST_STRING_CHARS)
-                        .maxNameLength(MOST_NAME_CHARS)
+                        .maxStringLength(MAX_STRING_CHARS)
+                        .maxNameLength(MAX_FIELD_NAME_CHARS)
                         .build())
                 .build();
     }
 
-    /** True while an object has begun and not ended. */
+    /** True while an object has begun and is not complete. */
     public boolean isWithinObject() {
-        return place != Place.OUTSIDE;
+        return context != Context.OUTSIDE;
     }
 
-    /** Takes the bytes that came next. */
+    /** Parses the next bytes of the input. */
     public void feed(final byte[] bytes, final int from, final int length) throws IOException {
         final int end = from + length;
-        int at = from;
-        while (at < end) {
-            int next = at;
+        int start = from;
+        while (start < end) {
+            int next = start;
             while (next < end && bytes[next] != '\n') {
                 lineBlank &= bytes[next] == ' ' || bytes[next] == '\r' || bytes[next] == '\t';
                 next++;
             }
             final boolean lineEnds = next < end;
             next += lineEnds ? 1 : 0;
-            count(next - at);
-            parse(bytes, at, next);
+            countInput(next - start);
+            parse(bytes, start, next);
             if (lineEnds) {
                 endLine();
             }
-            at = next;
+            start = next;
         }
     }
 
-    /** No more bytes come. */
+    /** Ends the input; an incomplete object is an error. */
     public void end() throws ListFormatException {
         if (isWithinObject()) {
-            throw new ListFormatException(Fault.TRUNCATED, "it breaks off");
+            throw new ListFormatException(Fault.TRUNCATED, "it ends before its JSON object is complete");
         }
     }
 
-    private void count(final int bytes) throws ListFormatException {
-        told += bytes;
-        if (told > TOLD_PER_STAGED * budgetBytes) {
-            throw new ListFormatException(Fault.TOO_LARGE, "more than " + TOLD_PER_STAGED * budgetBytes + " bytes");
+    private void countInput(final int bytes) throws ListFormatException {
+        inputBytes += bytes;
+        if (inputBytes > INPUT_BYTES_PER_STAGED_BYTE * budgetBytes) {
+            throw new ListFormatException(
+                    Fault.TOO_LARGE,
+                    "it has more than " + INPUT_BYTES_PER_STAGED_BYTE * budgetBytes
+                            + " bytes without a complete object");
         }
     }
 
@@ -131,9 +135,9 @@
             return;
         }
         if (isWithinObject()) {
-            throw new ListFormatException(Fault.TRUNCATED, "an object breaks off");
+            throw new ListFormatException(Fault.TRUNCATED, "an empty line comes before its JSON object is complete");
         }
-        told = 0;
+        inputBytes = 0;
         listener.onHeartbeat();
     }
 
@@ -142,7 +146,7 @@
         try {
             JsonToken token = tokens.nextToken();
             while (token != null && token != JsonToken.NOT_AVAILABLE) {
-                take(token);
+                onToken(token);
                 token = tokens.nextToken();
             }
         } catch (final JsonProcessingException e) {
@@ -150,37 +154,37 @@
         }
     }
 
-    private void take(final JsonToken token) throws IOException {
-        if (skipped > 0) {
-            skipped += token.isStructStart() ? 1 : token.isStructEnd() ? -1 : 0;
+    private void onToken(final JsonToken token) throws IOException {
+        if (skipDepth > 0) {
+            skipDepth += token.isStructStart() ? 1 : token.isStructEnd() ? -1 : 0;
             return;
         }
-        switch (place) {
+        switch (context) {
             case OUTSIDE -> beginList(token);
-            case LIST -> takeOfList(token);
-            case ENTRIES -> takeOfEntries(token);
-            default -> takeOfEntry(token);
+            case LIST -> onListToken(token);
+            case ENTRIES -> onEntriesToken(token);
+            default -> onEntryToken(token);
         }
     }
 
     private void beginList(final JsonToken token) throws ListFormatException {
         if (token != JsonToken.START_OBJECT) {
-            throw new ListFormatException(Fault.MALFORMED, "it is no object");
+            throw new ListFormatException(Fault.MALFORMED, "it is not a JSON object");
         }
         list = new StagedList(budgetBytes);
-        place = Place.LIST;
+        context = Context.LIST;
     }
 
-    private void takeOfList(final JsonToken token) throws IOException {
+    private void onListToken(final JsonToken token) throws IOException {
         if (token == JsonToken.FIELD_NAME) {
             field = tokens.currentName();
         } else if (token == JsonToken.END_OBJECT) {
             endList();
         } else if (token == JsonToken.START_ARRAY && field.equals("hosts")) {
-            place = Place.ENTRIES;
+            context = Context.ENTRIES;
             list.setHasEntries(true);
         } else if (token.isStructStart()) {
-            skipped = 1;
+            skipDepth = 1;
         } else if (field.equals("seq")) {
             list.setVersion(tokens.getValueAsLong(StagedList.NO_VERSION));
         } else if (field.equals("whole")) {
@@ -189,40 +193,40 @@
     }
 
     private void endList() throws IOException {
-        final StagedList ended = list;
+        final StagedList complete = list;
         list = null;
-        place = Place.OUTSIDE;
-        told = 0;
-        if (ended.isFull() && !ended.hasEntries()) {
-            throw new ListFormatException(Fault.MALFORMED, "a whole list without entries");
+        context = Context.OUTSIDE;
+        inputBytes = 0;
+        if (complete.isFull() && !complete.hasEntries()) {
+            throw new ListFormatException(Fault.MALFORMED, "it is a full list without 'hosts'");
         }
-        listener.onList(ended);
+        listener.onList(complete);
     }
 
-    private void takeOfEntries(final JsonToken token) {
+    private void onEntriesToken(final JsonToken token) {
         if (token == JsonToken.END_ARRAY) {
-            place = Place.LIST;
+            context = Context.LIST;
         } else if (token == JsonToken.START_OBJECT) {
-            place = Place.ENTRY;
-            entry.begin();
+            context = Context.ENTRY;
+            entryReader.begin();
         } else {
-            skipped = token.isStructStart() ? 1 : 0;
-            listener.onUnusableEntry("an entry that is no object");
+            skipDepth = token.isStructStart() ? 1 : 0;
+            listener.onUnusableEntry("it is not a JSON object");
         }
     }
 
-    private void takeOfEntry(final JsonToken token) throws IOException {
+    private void onEntryToken(final JsonToken token) throws IOException {
         if (token == JsonToken.FIELD_NAME) {
             field = tokens.currentName();
         } else if (token == JsonToken.END_OBJECT) {
-            place = Place.ENTRIES;
-            if (!entry.end(list)) {
-                listener.onUnusableEntry(entry.problemText());
+            context = Context.ENTRIES;
+            if (!entryReader.end(list)) {
+                listener.onUnusableEntry(entryReader.problemText());
             }
         } else if (token.isStructStart()) {
-            skipped = 1;
+            skipDepth = 1;
         } else {
-            entry.readField(field, token, tokens);
+            entryReader.readField(field, token, tokens);
         }
     }
 }
--- a/src/main/java/railspar/list/ListStore.java
+++ b/src/main/java/railspar/list/ListStore.java
@@ -13,92 +13,94 @@
 import railspar.Courier;
 
 /**
- * A copy of the list in the folder that outlasts the process: a base, and behind it each change. A restart reads it
- * and asks only for what came after its version. Nothing is synced: the folder outlasts the process, SIGKILL too,
- * and a machine that is lost loses the folder as well.
+ * Persists the list in the state folder: a snapshot followed by the changes since. A restarted process loads it and
+ * requests only the changes after its version. The file is never synced: what was written outlasts the process, even
+ * after SIGKILL, and if the machine is lost, the folder is lost with it.
  *
- * <p>Once the changes have grown as large as the base, a new base is written, so that each byte of a change costs
- * one further byte of a base; where the budget leaves less room, up to {@value #MOST_BASE_PER_CHANGE}. Where it does
- * not leave that, no copy is kept.
+ * <p>Once the changes are as large as the snapshot, a new snapshot is written, so that each byte of a change costs one
+ * more byte of a snapshot. If the budget leaves less room for changes, that ratio may grow up to
+ * {@value #MAX_SNAPSHOT_BYTES_PER_CHANGE_BYTE}. If it leaves even less, no copy is kept.
  */
 public final class ListStore {
     private static final String FILE = "list";
     private static final String NEXT_FILE = "list.next";
-    /** The disk counts every file in whole blocks of that size. */
+    /** Disk usage is counted in whole blocks of this size. */
     private static final long DISK_BLOCK_BYTES = 512;
-    /** Changes of that size may always gather, or a small list would be written anew with every few of them. */
-    private static final long LEAST_CHANGE_BYTES = 4096;
-    /** Bytes of a base that may be written for each byte of a change. */
-    private static final int MOST_BASE_PER_CHANGE = 8;
-    /** Bytes of changes that wait in memory while this process does not own the file, or a base is being written. */
-    private static final long MOST_WAITING_BYTES = 1 << 18;
-
-    private final Path place;
-    private final Path next;
+    /** Changes may always grow to this size, or a small list would need a new snapshot after every few changes. */
+    private static final long MIN_CHANGE_BYTES = 4096;
+    /** Limit for the bytes of snapshots that are written for each byte of a change. */
+    private static final int MAX_SNAPSHOT_BYTES_PER_CHANGE_BYTE = 8;
+    /** Limit for changes buffered in memory while another process owns the file or a snapshot is being written. */
+    private static final long MAX_PENDING_BYTES = 1 << 18;
+
+    private final Path path;
+    private final Path nextPath;
     private final long fingerprint;
     private final long budgetBytes;
     private final Consumer<String> log;
 
     private boolean owner;
     private boolean closed;
-    /** Null while there is no file, or this process may not write it. */
+    /** Null while there is no file or this process may not write to it. */
     private FileChannel file;
 
-    private long size;
-    private long baseBytes;
-    /** The file as it was found: its size on disk, and what of it was whole; 0 where nothing usable was found. */
-    private long foundBytes;
+    private long fileBytes;
+    private long snapshotBytes;
+    /** Size of the file when it was loaded; 0 if no usable file was found. */
+    private long loadedFileBytes;
+    /** Size of the loaded file up to the end of its last complete change; 0 if no usable file was found. */
+    private long loadedCompleteBytes;
 
-    private long foundWholeBytes;
     private SnapshotWriter writer;
-    /** Changes that are not in the file yet. */
-    private final List<ByteBuffer> waiting = new ArrayList<>();
+    /** Records of changes that are not in the file yet. */
+    private final List<ByteBuffer> pending = new ArrayList<>();
 
-    private long waitingBytes;
-    /** Changes have been dropped that the file does not have: only a new base helps. */
-    private boolean behind;
-    /** The last write failed. */
+    private long pendingBytes;
+    /** Changes have been dropped that are not in the file, so that a new snapshot is needed. */
+    private boolean snapshotNeeded;
+    /** The last write has failed. */
     private boolean suspended;
-    /** The base that is being written is the first one after such a failure. */
-    private boolean resumed;
+    /** The snapshot being written is the first one after a failed write. */
+    private boolean resumedSnapshot;
 
-    private StoredRecord.Builder part = new StoredRecord.Builder();
+    private StoredRecord.Builder record = new StoredRecord.Builder();
     private final StagedEntry entry = new StagedEntry();
 
     /**
-     * A store in that folder.
+     * Creates a store in a folder.
      *
-     * @param fingerprint of the settings under which the list is read: a copy from other ones is not used
-     * @param budgetBytes all its files together, each counted in whole blocks of the disk, never take more
-     * @param log where it says what it dropped
+     * @param fingerprint of the settings; a copy that was written under different settings is not used
+     * @param budgetBytes limit for all files of the store together, each counted in whole blocks of the disk
+     * @param log receives log messages
      */
     public ListStore(final Path folder, final long fingerprint, final long budgetBytes, final Consumer<String> log) {
-        this.place = folder.resolve(FILE);
-        this.next = folder.resolve(NEXT_FILE);
+        this.path = folder.resolve(FILE);
+        this.nextPath = folder.resolve(NEXT_FILE);
         this.fingerprint = fingerprint;
         this.budgetBytes = budgetBytes;
         this.log = log;
     }
 
-    // ---------------------------------------------------------------- reading
+    // ---------------------------------------------------------------- loading
 
     /**
-     * Reads the stored list, without touching the file: another process may still own it. Null where there is none
-     * that can be used, or it is older than that version.
+     * Loads the stored list without changing the file, which another process may still own. Null if there is no usable
+     * list, or if it is older than {@code minVersion}.
      */
-    public EndpointTable load(final long leastVersion) {
+    public EndpointTable load(final long minVersion) {
         try {
-            final long onDisk = Files.size(place);
-            final StoredList stored = StoredList.read(place, fingerprint);
-            if (stored.table().version() < leastVersion) {
+            final long fileSize = Files.size(path);
+            final StoredList stored = StoredList.read(path, fingerprint);
+            if (stored.table().version() < minVersion) {
                 throw new StoredList.UnusableException("its version "
-                        + stored.table().version() + " is older than " + leastVersion + " in the configuration");
+                        + stored.table().version() + " is older than " + minVersion + " in the configuration");
             }
-            foundBytes = onDisk;
-            foundWholeBytes = stored.completeBytes();
-            baseBytes = stored.snapshotBytes();
-            if (foundWholeBytes < onDisk) {
-                log.accept("the stored list: " + (onDisk - foundWholeBytes) + " bytes of a torn change are cut off");
+            loadedFileBytes = fileSize;
+            loadedCompleteBytes = stored.completeBytes();
+            snapshotBytes = stored.snapshotBytes();
+            if (loadedCompleteBytes < fileSize) {
+                log.accept("the stored list: ignored " + (fileSize - loadedCompleteBytes)
+                        + " bytes of an incomplete last change");
             }
             log.accept("the stored list is at " + stored.table().version() + " with "
                     + stored.table().size() + " endpoints");
@@ -111,23 +113,23 @@
         }
     }
 
-    // ---------------------------------------------------------------- the owner
+    // ---------------------------------------------------------------- ownership
 
-    /** From now on this process writes the copy, and nobody else does. */
+    /** Makes this process the only writer of the stored list. */
     public void takeOwnership(final EndpointTable table) {
         owner = true;
         try {
-            Files.createDirectories(place.getParent());
-            Files.deleteIfExists(next);
-            final boolean asFound = foundBytes > 0 && Files.exists(place) && Files.size(place) == foundBytes;
-            if (!asFound || rounded(foundBytes) > budgetBytes) {
-                // Another process has written since, or there is nothing to go on from.
-                behind |= foundBytes > 0;
-                Files.deleteIfExists(place);
+            Files.createDirectories(path.getParent());
+            Files.deleteIfExists(nextPath);
+            final boolean unchanged = loadedFileBytes > 0 && Files.exists(path) && Files.size(path) == loadedFileBytes;
+            if (!unchanged || roundedToBlocks(loadedFileBytes) > budgetBytes) {
+                // Another process has written to the file since it was loaded, or there is no usable file to append to.
+                snapshotNeeded |= loadedFileBytes > 0;
+                Files.deleteIfExists(path);
             } else {
-                file = FileChannel.open(place, StandardOpenOption.WRITE);
-                file.truncate(foundWholeBytes);
-                size = foundWholeBytes;
+                file = FileChannel.open(path, StandardOpenOption.WRITE);
+                file.truncate(loadedCompleteBytes);
+                fileBytes = loadedCompleteBytes;
             }
             save(table);
         } catch (final IOException e) {
@@ -135,60 +137,60 @@
         }
     }
 
-    /** The folder may fail for a while: a new base is written once it can be. */
+    /** Suspends writing after a failure of the folder, until {@link #resumeWriting} can start a new snapshot. */
     private void suspend(final IOException cause) {
         if (!suspended) {
             log.accept("the stored list cannot be written for now: " + cause.getMessage());
         }
         suspended = true;
-        behind = true;
-        forgetWaiting();
-        size = file == null ? 0 : sizeOnDisk();
+        snapshotNeeded = true;
+        clearPending();
+        fileBytes = file == null ? 0 : sizeOnDisk();
         closeFiles();
     }
 
-    /** Bytes that the open file takes, also those of a write that failed. */
+    /** Size of the open file, including the bytes of a failed write. */
     private long sizeOnDisk() {
         try {
             return file.size();
         } catch (final IOException e) {
-            return size;
+            return fileBytes;
         }
     }
 
-    /** Begins a new base in place of what could not be written, if there is such. */
+    /** Starts a new snapshot if writing was suspended after a failure. */
     public void resumeWriting(final EndpointTable table) {
         if (!suspended || closed) {
             return;
         }
         try {
-            beginBase(table);
+            beginSnapshot(table);
             suspended = false;
-            resumed = true;
+            resumedSnapshot = true;
         } catch (final IOException e) {
             suspend(e);
         }
     }
 
-    /** This process writes no more: another one takes over. */
+    /** Stops writing for good: another process takes over. */
     public void releaseOwnership() {
         owner = false;
         closed = true;
-        forgetWaiting();
+        clearPending();
         closeFiles();
     }
 
     private void closeFiles() {
-        final SnapshotWriter begun = writer;
-        final FileChannel open = file;
+        final SnapshotWriter openWriter = writer;
+        final FileChannel openFile = file;
         writer = null;
         file = null;
         try {
-            if (begun != null) {
-                begun.abandon();
+            if (openWriter != null) {
+                openWriter.abandon();
             }
-            if (open != null) {
-                open.close();
+            if (openFile != null) {
+                openFile.close();
             }
         } catch (final IOException e) {
             log.accept("the stored list cannot be closed: " + e.getMessage());
@@ -197,52 +199,52 @@
 
     // ---------------------------------------------------------------- changes
 
-    /** Part of the next change: a listed endpoint is as the table has it now. */
+    /** Adds a listed endpoint, as it is in the table now, to the next change. */
     public void put(final EndpointTable table, final long endpoint) {
-        add(table, endpoint, table.conditionOf(endpoint));
+        addEntry(table, endpoint, table.conditionOf(endpoint));
     }
 
-    /** Part of the next change: a listed endpoint is about to leave the table. */
+    /** Adds the removal of an endpoint, which is still in the table, to the next change. */
     public void remove(final EndpointTable table, final long endpoint) {
-        add(table, endpoint, Courier.Condition.GONE);
+        addEntry(table, endpoint, Courier.Condition.GONE);
     }
 
-    private void add(final EndpointTable table, final long endpoint, final Courier.Condition condition) {
+    private void addEntry(final EndpointTable table, final long endpoint, final Courier.Condition condition) {
         if (closed) {
             return;
         }
-        table.read(table.row(endpoint), entry);
+        table.readEntry(table.row(endpoint), entry);
         entry.condition = condition;
-        part.entry(entry, table.zones().textOf(entry.zone), table.kinds().textOf(entry.kind));
-        if (part.isFull()) {
-            endPart(StoredRecord.CHANGE_PART);
+        record.entry(entry, table.zones().textOf(entry.zone), table.kinds().textOf(entry.kind));
+        if (record.isFull()) {
+            endRecord(StoredRecord.CHANGE_PART);
         }
     }
 
-    /** A change that is larger than what may wait is not kept in memory: a new base has it. */
-    private void endPart(final byte type) {
-        final ByteBuffer record = part.build(type);
-        part = new StoredRecord.Builder();
-        if (waitingBytes + record.capacity() > MOST_WAITING_BYTES) {
-            forgetWaiting();
-            behind = true;
+    /** Buffers the record; if too many are pending, drops them all, and a new snapshot replaces them. */
+    private void endRecord(final byte type) {
+        final ByteBuffer ended = record.build(type);
+        record = new StoredRecord.Builder();
+        if (pendingBytes + ended.capacity() > MAX_PENDING_BYTES) {
+            clearPending();
+            snapshotNeeded = true;
         }
-        if (!behind) {
-            waiting.add(record);
-            waitingBytes += record.capacity();
+        if (!snapshotNeeded) {
+            pending.add(ended);
+            pendingBytes += ended.capacity();
         }
     }
 
-    /** The change is whole: the table is at its version. */
+    /** Completes the change: the table has reached its version. */
     public void commit(final EndpointTable table) {
         if (closed) {
             return;
         }
-        if (part.entries() > 0) {
-            endPart(StoredRecord.CHANGE_PART);
+        if (record.entries() > 0) {
+            endRecord(StoredRecord.CHANGE_PART);
         }
-        part.number(table.version());
-        endPart(StoredRecord.CHANGE_END);
+        record.number(table.version());
+        endRecord(StoredRecord.CHANGE_END);
         try {
             save(table);
         } catch (final IOException e) {
@@ -250,112 +252,112 @@
         }
     }
 
-    private void forgetWaiting() {
-        waiting.clear();
-        waitingBytes = 0;
+    private void clearPending() {
+        pending.clear();
+        pendingBytes = 0;
     }
 
-    /** Appends what waits, or begins a new base. */
+    /** Appends the pending records, or starts a new snapshot. */
     private void save(final EndpointTable table) throws IOException {
-        final boolean nothingNew = waiting.isEmpty() && !behind;
-        if (!owner || closed || suspended || nothingNew || writer != null && !behind) {
+        final boolean nothingNew = pending.isEmpty() && !snapshotNeeded;
+        if (!owner || closed || suspended || nothingNew || writer != null && !snapshotNeeded) {
             return;
         }
-        if (file != null && !behind && size - baseBytes + waitingBytes <= mostChangeBytes()) {
-            for (final ByteBuffer record : waiting) {
-                size = StoredRecord.write(file, record, size);
+        if (file != null && !snapshotNeeded && fileBytes - snapshotBytes + pendingBytes <= maxChangeBytes()) {
+            for (final ByteBuffer change : pending) {
+                fileBytes = StoredRecord.write(file, change, fileBytes);
             }
-            forgetWaiting();
+            clearPending();
         } else {
-            beginBase(table);
+            beginSnapshot(table);
         }
     }
 
-    /** Bytes of changes behind the base: the next base must find room beside both. */
-    private long mostChangeBytes() {
-        return Math.min(Math.max(baseBytes, LEAST_CHANGE_BYTES), roomBytes());
+    /** Limit for the changes after the snapshot: the next snapshot must fit on the disk beside both. */
+    private long maxChangeBytes() {
+        return Math.min(Math.max(snapshotBytes, MIN_CHANGE_BYTES), changeRoomBytes());
     }
 
-    /** What the budget leaves for changes: they may all be additions, by which the next base is larger. */
-    private long roomBytes() {
-        return (budgetBytes - 2 * rounded(baseBytes)) / 2 - DISK_BLOCK_BYTES;
+    /** Bytes that the budget leaves for changes. If all are additions, the next snapshot is larger by their size. */
+    private long changeRoomBytes() {
+        return (budgetBytes - 2 * roundedToBlocks(snapshotBytes)) / 2 - DISK_BLOCK_BYTES;
     }
 
-    private static long rounded(final long bytes) {
+    private static long roundedToBlocks(final long bytes) {
         return (bytes + DISK_BLOCK_BYTES - 1) / DISK_BLOCK_BYTES * DISK_BLOCK_BYTES;
     }
 
-    // ---------------------------------------------------------------- the base
+    // ---------------------------------------------------------------- snapshots
 
-    private void beginBase(final EndpointTable table) throws IOException {
+    private void beginSnapshot(final EndpointTable table) throws IOException {
         if (writer != null) {
             writer.abandon();
         }
-        // The base has them all.
-        forgetWaiting();
-        behind = false;
-        writer = new SnapshotWriter(next, place, fingerprint, table.version());
+        // The snapshot contains all pending changes.
+        clearPending();
+        snapshotNeeded = false;
+        writer = new SnapshotWriter(nextPath, path, fingerprint, table.version());
     }
 
-    /** True while a base is being written: {@link #writeSlice} is due. */
+    /** True while a snapshot is being written, so that {@link #writeSlice} has to be called. */
     public boolean isWriting() {
         return writer != null;
     }
 
-    /** Writes a small part of the base. */
+    /** Writes the next slice of the snapshot. */
     public void writeSlice(final EndpointTable table) {
         if (writer == null) {
             return;
         }
         try {
             final boolean more = writer.writeSlice(table);
-            if (!fits(writer.size() + waitingBytes)) {
-                giveUp("it needs more than the " + budgetBytes + " bytes there are for it");
+            if (!fits(writer.size() + pendingBytes)) {
+                disable("it needs more than its budget of " + budgetBytes + " bytes");
             } else if (!more) {
-                endBase(table);
+                finishSnapshot(table);
             }
         } catch (final IOException e) {
             suspend(e);
         }
     }
 
-    /** True if a new file of that size, with what else a base needs at its end, has room beside the old one. */
+    /** True if a new file of that size, with the record that ends its snapshot, fits beside the old file. */
     private boolean fits(final long bytes) {
-        return rounded(size) + rounded(bytes) + DISK_BLOCK_BYTES <= budgetBytes;
+        return roundedToBlocks(fileBytes) + roundedToBlocks(bytes) + DISK_BLOCK_BYTES <= budgetBytes;
     }
 
-    private void endBase(final EndpointTable table) throws IOException {
-        final long ended = writer.finish();
-        final FileChannel fresh = writer.replace(waiting);
-        size = writer.size();
-        baseBytes = ended;
+    private void finishSnapshot(final EndpointTable table) throws IOException {
+        final long endedBytes = writer.finish();
+        final FileChannel newFile = writer.publish(pending);
+        fileBytes = writer.size();
+        snapshotBytes = endedBytes;
         writer = null;
         if (file != null) {
             file.close();
         }
-        file = fresh;
-        forgetWaiting();
-        if (resumed) {
-            resumed = false;
+        file = newFile;
+        clearPending();
+        if (resumedSnapshot) {
+            resumedSnapshot = false;
             log.accept("the stored list is written anew");
         }
-        if (roomBytes() < Math.max(baseBytes, LEAST_CHANGE_BYTES) / MOST_BASE_PER_CHANGE) {
-            giveUp("it needs more than the " + budgetBytes + " bytes there are for it");
+        if (changeRoomBytes() < Math.max(snapshotBytes, MIN_CHANGE_BYTES) / MAX_SNAPSHOT_BYTES_PER_CHANGE_BYTE) {
+            disable("it needs more than its budget of " + budgetBytes + " bytes");
         } else {
             save(table);
         }
     }
 
-    /** Keeps no copy from now on: a torn or old one would be of no use. */
-    private void giveUp(final String reason) {
+    /** Stops keeping a copy and deletes its files: an incomplete or outdated copy is of no use. */
+    private void disable(final String reason) {
         log.accept("no copy of the list is kept: " + reason);
         releaseOwnership();
         try {
-            Files.deleteIfExists(next);
-            Files.deleteIfExists(place);
+            Files.deleteIfExists(nextPath);
+            Files.deleteIfExists(path);
         } catch (final IOException e) {
             log.accept("the stored list cannot be deleted: " + e.getMessage());
         }
-        size = 0;
+        fileBytes = 0;
     }
 }
--- a/src/main/java/railspar/list/NameHash.java
+++ b/src/main/java/railspar/list/NameHash.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Hashes and compares names that lie as UTF-8 inside larger arrays. */
+/** Hashes and compares UTF-8 names that are stored in ranges of larger byte arrays. */
 final class NameHash {
     private static final int MULTIPLIER = 31;
     private static final int GOLDEN_RATIO = 0x9E3779B9;
--- a/src/main/java/railspar/list/SnapshotWriter.java
+++ b/src/main/java/railspar/list/SnapshotWriter.java
@@ -10,25 +10,25 @@
 import java.util.List;
 
 /**
- * Writes the table to a new file, a slice at a time, and puts it in the place of the old one. The table may change
- * between two slices: the base bears the version with which it was begun, the changes since then are written behind
- * it, and reading them again in their order gives the table as it is, whichever of them a slice has seen already.
+ * Writes a snapshot of the table to a new file, slice by slice, and then replaces the old file with it. The table may
+ * change between slices. The snapshot has the version of the table at its start, and the changes since then are written
+ * after it. Applying them in order gives the current table, whether or not a slice already contains some of them.
  */
 final class SnapshotWriter {
-    /** Rows that one slice looks at: some 25 KB, well under a millisecond. */
+    /** Rows per slice: about 25 KB, which are written in well under a millisecond. */
     private static final int SLICE_ROWS = 512;
 
-    private final Path next;
-    private final Path place;
+    private final Path temporaryPath;
+    private final Path targetPath;
     private final FileChannel file;
     private final StagedEntry entry = new StagedEntry();
     private long size;
-    private int row;
-    private long entries;
+    private int nextRow;
+    private long entryCount;
 
     SnapshotWriter(final Path next, final Path place, final long fingerprint, final long version) throws IOException {
-        this.next = next;
-        this.place = place;
+        this.temporaryPath = next;
+        this.targetPath = place;
         this.file = FileChannel.open(
                 next, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE);
         try {
@@ -47,55 +47,55 @@
         size = StoredRecord.write(file, record, size);
     }
 
-    /** Bytes so far. */
+    /** Bytes written so far. */
     long size() {
         return size;
     }
 
-    /** Writes the next slice; true while there are more. */
+    /** Writes the next slice; true if there are more. */
     boolean writeSlice(final EndpointTable table) throws IOException {
-        final int until = Math.min(table.rows(), row + SLICE_ROWS);
-        StoredRecord.Builder block = new StoredRecord.Builder();
-        for (; row < until; row++) {
-            if (table.isListedRow(row)) {
-                table.read(row, entry);
-                block.entry(
+        final int until = Math.min(table.rowCount(), nextRow + SLICE_ROWS);
+        StoredRecord.Builder part = new StoredRecord.Builder();
+        for (; nextRow < until; nextRow++) {
+            if (table.isListedRow(nextRow)) {
+                table.readEntry(nextRow, entry);
+                part.entry(
                         entry, table.zones().textOf(entry.zone), table.kinds().textOf(entry.kind));
-                if (block.isFull()) {
-                    block = flush(block);
+                if (part.isFull()) {
+                    part = flush(part);
                 }
             }
         }
-        flush(block);
-        return row < table.rows();
+        flush(part);
+        return nextRow < table.rowCount();
     }
 
-    private StoredRecord.Builder flush(final StoredRecord.Builder block) throws IOException {
-        if (block.entries() > 0) {
-            entries += block.entries();
-            write(block.build(StoredRecord.BLOCK));
+    private StoredRecord.Builder flush(final StoredRecord.Builder part) throws IOException {
+        if (part.entries() > 0) {
+            entryCount += part.entries();
+            write(part.build(StoredRecord.SNAPSHOT_PART));
         }
         return new StoredRecord.Builder();
     }
 
-    /** Ends the base; the result is its size. */
+    /** Ends the snapshot and returns its size in bytes. */
     long finish() throws IOException {
-        write(new StoredRecord.Builder().number(entries).build(StoredRecord.BASE_END));
+        write(new StoredRecord.Builder().number(entryCount).build(StoredRecord.SNAPSHOT_END));
         return size;
     }
 
-    /** Writes the changes since the base was begun, and takes the old file's place; the result is the open file. */
-    FileChannel replace(final List<ByteBuffer> changes) throws IOException {
+    /** Writes the changes since the start of the snapshot, replaces the old file, and returns the open new file. */
+    FileChannel publish(final List<ByteBuffer> changes) throws IOException {
         for (final ByteBuffer change : changes) {
             write(change);
         }
-        Files.move(next, place, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(temporaryPath, targetPath, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         return file;
     }
 
-    /** Gives up: the old file stays. */
+    /** Cancels the snapshot; the old file stays in place. */
     void abandon() throws IOException {
         file.close();
-        Files.deleteIfExists(next);
+        Files.deleteIfExists(temporaryPath);
     }
 }
--- a/src/main/java/railspar/list/StagedEntry.java
+++ b/src/main/java/railspar/list/StagedEntry.java
@@ -4,20 +4,20 @@
 import railspar.Courier;
 
 /**
- * One entry as a list told it, before it is known what the table makes of it. Reused from entry to entry, so that a
- * list of any size is read with one of them.
+ * One entry of a list, before it is applied to the table. The object is mutable and reused for every entry, so that a
+ * list of any size needs only one.
  */
 final class StagedEntry {
-    /** The name in UTF-8: {@code nameLength} bytes of the array, from {@code nameFrom} on. */
+    /** Contains the name in UTF-8: {@code nameLength} bytes, starting at {@code nameFrom}. */
     byte[] nameBytes = new byte[0];
 
     int nameFrom;
     int nameLength;
-    /** Null where the list's word on it cannot be read. */
+    /** Null if the list has no valid condition for the endpoint. */
     Courier.Condition condition;
-    /** False where its destination cannot be read. */
+    /** False if the list has no valid destination for the endpoint. */
     boolean hasDestination;
-    /** False where its address cannot be read. */
+    /** False if the list has no valid address for the endpoint. */
     boolean hasAddress;
 
     int ip;
@@ -26,10 +26,10 @@
     int kind;
     long destination;
     double weight;
-    /** What is wrong with it, or null. */
+    /** What is wrong with the entry, or null. */
     String problem;
 
-    void name(final String name) {
+    void setName(final String name) {
         nameBytes = name.getBytes(StandardCharsets.UTF_8);
         nameFrom = 0;
         nameLength = nameBytes.length;
@@ -39,7 +39,7 @@
         return new String(nameBytes, nameFrom, nameLength, StandardCharsets.UTF_8);
     }
 
-    /** True if nothing that an endpoint needs is missing, its address aside. */
+    /** True if the entry has all fields that an endpoint needs, except perhaps its address. */
     boolean isComplete() {
         return hasDestination && condition != null;
     }
--- a/src/main/java/railspar/list/StagedList.java
+++ b/src/main/java/railspar/list/StagedList.java
@@ -9,14 +9,14 @@
 import railspar.Courier;
 
 /**
- * What one object of the list holds, packed, until the object is whole and can be applied. It refuses to grow beyond
- * a budget, and to take a name twice.
+ * The entries of one list, in packed form, until its JSON object is complete and can be applied to the table. It
+ * rejects a list that needs more heap than its budget, or that names an endpoint twice.
  */
 public final class StagedList {
-    /** The version of a list that tells none. */
+    /** The version of a list without a version. */
     public static final long NO_VERSION = Long.MIN_VALUE;
-    /** Longest name, zone or kind in bytes. */
-    static final int MOST_TEXT_BYTES = 1024;
+    /** Longest permitted name, zone or kind, in bytes. */
+    static final int MAX_TEXT_BYTES = 1024;
 
     private static final int PAGE_BYTES = 1 << 14;
     /** Name length, flags, address, port, zone, kind, destination, weight. */
@@ -27,63 +27,63 @@
     private static final int HAS_DESTINATION = 4;
     private static final int HAS_ADDRESS = 8;
     private static final Courier.Condition[] CONDITIONS = Courier.Condition.values();
-    private static final int FIRST_SLOTS = 16;
-    /** Problems that are kept for the log; of more, only that there was one. */
-    private static final int MOST_PROBLEMS = 50;
+    private static final int INITIAL_SLOTS = 16;
+    /** Problems whose texts are kept for the log; further entries get a general text. */
+    private static final int MAX_PROBLEMS = 50;
 
     private final long budgetBytes;
     private final List<ByteBuffer> pages = new ArrayList<>();
-    /** Where the entries begin, plus one, by the hash of their names; open addressing. */
-    private int[] slots = new int[FIRST_SLOTS];
+    /** Position of an entry plus one, by the hash of its name; open addressing. */
+    private int[] slots = new int[INITIAL_SLOTS];
 
     private final TextDictionary zones = new TextDictionary();
     private final TextDictionary kinds = new TextDictionary();
     private final Map<Integer, String> problems = new HashMap<>();
     private int size;
-    private boolean whole;
+    private boolean full;
     private boolean hasEntries;
     private long version = NO_VERSION;
 
-    /** Begins an empty one that takes so many bytes of heap at most. */
+    /** Creates an empty list that may take {@code budgetBytes} of heap. */
     public StagedList(final long budgetBytes) {
         this.budgetBytes = budgetBytes;
     }
 
-    /** True if it names all endpoints, and not only changed ones. */
+    /** True if the list contains all endpoints, false if it contains only changed ones. */
     public boolean isFull() {
-        return whole;
+        return full;
     }
 
-    /** Its version, or {@link #NO_VERSION}. */
+    /** The version of the list, or {@link #NO_VERSION}. */
     public long version() {
         return version;
     }
 
-    /** True if it has an array of entries, be it empty. */
+    /** True if the list has an array of entries, even an empty one. */
     public boolean hasEntries() {
         return hasEntries;
     }
 
-    void setHasEntries(final boolean told) {
-        hasEntries = told;
+    void setHasEntries(final boolean present) {
+        hasEntries = present;
     }
 
-    /** Entries in it. */
+    /** Number of entries. */
     public int size() {
         return size;
     }
 
-    /** Heap that it takes. */
+    /** Heap bytes of the list. */
     public long bytes() {
         return (long) pages.size() * PAGE_BYTES + (long) slots.length * Integer.BYTES + zones.bytes() + kinds.bytes();
     }
 
-    void setFull(final boolean all) {
-        whole = all;
+    void setFull(final boolean complete) {
+        full = complete;
     }
 
-    void setVersion(final long told) {
-        version = told;
+    void setVersion(final long newVersion) {
+        version = newVersion;
     }
 
     TextDictionary zones() {
@@ -94,7 +94,7 @@
         return kinds;
     }
 
-    /** Takes an entry; its zone and kind are numbers of this list's dictionaries. */
+    /** Adds an entry; its zone and kind are numbers of this list's dictionaries. */
     void add(final StagedEntry entry) throws ListFormatException {
         final int hash = NameHash.of(entry.nameBytes, entry.nameFrom, entry.nameLength);
         growSlots();
@@ -104,21 +104,20 @@
                     ListFormatException.Fault.REPEATED_ENTRY, "it names " + entry.name() + " twice");
         }
         final ByteBuffer page = pageFor(FIXED_BYTES + entry.nameLength);
-        final int at = (pages.size() - 1) * PAGE_BYTES + page.position();
-        slots[slot] = at + 1;
-        if (entry.problem != null && problems.size() < MOST_PROBLEMS) {
-            problems.put(at, entry.problem);
+        final int position = (pages.size() - 1) * PAGE_BYTES + page.position();
+        slots[slot] = position + 1;
+        if (entry.problem != null && problems.size() < MAX_PROBLEMS) {
+            problems.put(position, entry.problem);
         }
         write(entry, page);
         size++;
-        requireBudget();
+        requireWithinBudget();
     }
 
-    private void requireBudget() throws ListFormatException {
+    private void requireWithinBudget() throws ListFormatException {
         if (bytes() > budgetBytes) {
             throw new ListFormatException(
-                    ListFormatException.Fault.TOO_LARGE,
-                    "it needs more than the " + budgetBytes + " bytes there are for it");
+                    ListFormatException.Fault.TOO_LARGE, "it needs more than its budget of " + budgetBytes + " bytes");
         }
     }
 
@@ -139,48 +138,49 @@
         page.putLong(entry.destination).putDouble(entry.weight);
     }
 
-    /** Reads the entry at a position into a reused object; the result is the position behind it. */
-    private int read(final int at, final StagedEntry into) {
-        final ByteBuffer page = pages.get(at / PAGE_BYTES);
-        int offset = at % PAGE_BYTES;
-        into.nameBytes = page.array();
-        into.nameLength = page.getShort(offset);
+    /** Reads the entry at a position into a reused object and returns the position after it. */
+    private int read(final int position, final StagedEntry target) {
+        final ByteBuffer page = pages.get(position / PAGE_BYTES);
+        int offset = position % PAGE_BYTES;
+        target.nameBytes = page.array();
+        target.nameLength = page.getShort(offset);
         offset += Short.BYTES;
-        into.nameFrom = offset;
-        offset += into.nameLength;
+        target.nameFrom = offset;
+        offset += target.nameLength;
         final int flags = page.get(offset++);
         final int condition = flags & CONDITION_MASK;
-        into.condition = condition == CONDITION_UNKNOWN ? null : CONDITIONS[condition];
-        into.hasDestination = (flags & HAS_DESTINATION) != 0;
-        into.hasAddress = (flags & HAS_ADDRESS) != 0;
-        into.ip = page.getInt(offset);
+        target.condition = condition == CONDITION_UNKNOWN ? null : CONDITIONS[condition];
+        target.hasDestination = (flags & HAS_DESTINATION) != 0;
+        target.hasAddress = (flags & HAS_ADDRESS) != 0;
+        target.ip = page.getInt(offset);
         offset += Integer.BYTES;
-        into.port = page.getChar(offset);
+        target.port = page.getChar(offset);
         offset += Character.BYTES;
-        into.zone = page.getChar(offset);
+        target.zone = page.getChar(offset);
         offset += Character.BYTES;
-        into.kind = page.getChar(offset);
+        target.kind = page.getChar(offset);
         offset += Character.BYTES;
-        into.destination = page.getLong(offset);
+        target.destination = page.getLong(offset);
         offset += Long.BYTES;
-        into.weight = page.getDouble(offset);
+        target.weight = page.getDouble(offset);
         offset += Double.BYTES;
-        into.problem = problems.getOrDefault(at, "more of them");
-        return at / PAGE_BYTES * PAGE_BYTES + offset;
+        target.problem =
+                problems.getOrDefault(position, "the list has more than " + MAX_PROBLEMS + " unusable entries");
+        return position / PAGE_BYTES * PAGE_BYTES + offset;
     }
 
-    /** What is done with each entry; the object is reused. */
+    /** Visits entries; the entry object is reused between calls. */
     interface Visitor<E extends Exception> {
         void visit(StagedEntry entry) throws E;
     }
 
-    /** Visits the entries in the order told. */
+    /** Visits the entries in the order of the list. */
     <E extends Exception> void forEach(final Visitor<E> visitor) throws E {
         final StagedEntry entry = new StagedEntry();
         for (int page = 0; page < pages.size(); page++) {
             final int end = page * PAGE_BYTES + pages.get(page).position();
-            for (int at = page * PAGE_BYTES; at < end; ) {
-                at = read(at, entry);
+            for (int position = page * PAGE_BYTES; position < end; ) {
+                position = read(position, entry);
                 visitor.visit(entry);
             }
         }
@@ -188,38 +188,38 @@
 
     // ---------------------------------------------------------------- names
 
-    /** The slot of that name, or the free one where it belongs. */
+    /** The slot of the entry's name, or the free slot where it has to be inserted. */
     private int slot(final StagedEntry entry, final int hash) {
         int slot = hash & slots.length - 1;
-        while (slots[slot] != 0 && !isNamed(slots[slot] - 1, entry)) {
+        while (slots[slot] != 0 && !hasName(slots[slot] - 1, entry)) {
             slot = slot + 1 & slots.length - 1;
         }
         return slot;
     }
 
-    private boolean isNamed(final int at, final StagedEntry entry) {
-        final ByteBuffer page = pages.get(at / PAGE_BYTES);
-        final int offset = at % PAGE_BYTES;
+    private boolean hasName(final int position, final StagedEntry entry) {
+        final ByteBuffer page = pages.get(position / PAGE_BYTES);
+        final int offset = position % PAGE_BYTES;
         return page.getShort(offset) == entry.nameLength
                 && NameHash.same(page.array(), offset + Short.BYTES, entry.nameBytes, entry.nameFrom, entry.nameLength);
     }
 
-    /** Three quarters at most are taken. */
+    /** Keeps the load factor of the hash table at three quarters or less. */
     private void growSlots() {
         if (4L * (size + 1) <= 3L * slots.length) {
             return;
         }
         final int[] old = slots;
         slots = new int[2 * old.length];
-        Arrays.stream(old).filter(at -> at != 0).forEach(at -> {
-            final ByteBuffer page = pages.get((at - 1) / PAGE_BYTES);
-            final int offset = (at - 1) % PAGE_BYTES;
+        Arrays.stream(old).filter(entry -> entry != 0).forEach(entry -> {
+            final ByteBuffer page = pages.get((entry - 1) / PAGE_BYTES);
+            final int offset = (entry - 1) % PAGE_BYTES;
             final int length = page.getShort(offset);
             int slot = NameHash.of(page.array(), offset + Short.BYTES, length) & slots.length - 1;
             while (slots[slot] != 0) {
                 slot = slot + 1 & slots.length - 1;
             }
-            slots[slot] = at;
+            slots[slot] = entry;
         });
     }
 }
--- a/src/main/java/railspar/list/StoredRecord.java
+++ b/src/main/java/railspar/list/StoredRecord.java
@@ -10,25 +10,25 @@
 import java.util.zip.CRC32C;
 import railspar.Courier;
 
-/** How records lie in the file of the stored list: each with its length and CRC32C ahead, then its type. */
+/** Format of the records in the stored list's file: length and CRC32C of the content, then type and fields. */
 final class StoredRecord {
     static final int FORMAT = 1;
-    /** Format, fingerprint of the settings, version of the list; the first record. */
+    /** The first record: format, fingerprint of the settings, version of the list. */
     static final byte HEADER = 1;
-    /** Endpoints of the base. */
-    static final byte BLOCK = 2;
-    /** The base is whole: how many endpoints its blocks hold. */
-    static final byte BASE_END = 3;
-    /** Endpoints that changed, or are gone; more of the same version follow. */
+    /** Endpoints of the snapshot. */
+    static final byte SNAPSHOT_PART = 2;
+    /** End of the snapshot: the number of its endpoints. */
+    static final byte SNAPSHOT_END = 3;
+    /** Changed or removed endpoints; more records of the same version follow. */
     static final byte CHANGE_PART = 4;
-    /** As above, and the version that is in force with it. */
+    /** End of a change: its version, and perhaps more endpoints. */
     static final byte CHANGE_END = 5;
 
     static final int HEAD_BYTES = 2 * Integer.BYTES;
-    /** A record is closed once it is larger than that; an entry adds a few kilobytes at most. */
-    static final int CLOSED_BYTES = 1 << 14;
+    /** A record that reaches this size gets no more entries; an entry takes a few kilobytes at most. */
+    static final int FULL_RECORD_BYTES = 1 << 14;
 
-    private static final int MOST_BYTES = 1 << 16;
+    private static final int MAX_RECORD_BYTES = 1 << 16;
     private static final Courier.Condition[] CONDITIONS = Courier.Condition.values();
 
     private StoredRecord() {}
@@ -79,7 +79,7 @@
         }
 
         boolean isFull() {
-            return bytes.size() >= CLOSED_BYTES;
+            return bytes.size() >= FULL_RECORD_BYTES;
         }
 
         ByteBuffer build(final byte type) {
@@ -91,27 +91,28 @@
         }
     }
 
-    /** Reads an entry; its zone and kind get numbers of the list's dictionaries. */
-    static void readEntry(final DataInputStream in, final StagedEntry into, final StagedList list) throws IOException {
-        into.name(in.readUTF());
-        into.condition = CONDITIONS[in.readByte()];
-        into.hasAddress = true;
-        into.hasDestination = true;
-        into.ip = in.readInt();
-        into.port = in.readChar();
-        into.zone = list.zones().numberOf(in.readUTF());
-        into.kind = list.kinds().numberOf(in.readUTF());
-        into.destination = in.readLong();
-        into.weight = in.readDouble();
-        into.problem = null;
+    /** Reads an entry; its zone and kind become numbers of the list's dictionaries. */
+    static void readEntry(final DataInputStream in, final StagedEntry target, final StagedList list)
+            throws IOException {
+        target.setName(in.readUTF());
+        target.condition = CONDITIONS[in.readByte()];
+        target.hasAddress = true;
+        target.hasDestination = true;
+        target.ip = in.readInt();
+        target.port = in.readChar();
+        target.zone = list.zones().numberOf(in.readUTF());
+        target.kind = list.kinds().numberOf(in.readUTF());
+        target.destination = in.readLong();
+        target.weight = in.readDouble();
+        target.problem = null;
     }
 
-    /** Reads the next record's type and content; null where the file ends, or holds no whole record. */
+    /** Reads the type and fields of the next record; null at the end of the file or of its valid part. */
     static byte[] read(final DataInputStream in) throws IOException {
         try {
             final int length = in.readInt();
             final int sum = in.readInt();
-            if (length <= 0 || length > MOST_BYTES) {
+            if (length <= 0 || length > MAX_RECORD_BYTES) {
                 return null;
             }
             final byte[] content = new byte[length];
@@ -124,12 +125,12 @@
         }
     }
 
-    /** Writes records at a position; the result is the position behind them. */
-    static long write(final FileChannel to, final ByteBuffer record, final long at) throws IOException {
-        final ByteBuffer rest = record.duplicate();
-        long position = at;
-        while (rest.hasRemaining()) {
-            position += to.write(rest, position);
+    /** Writes a record at a position and returns the position after it. */
+    static long write(final FileChannel file, final ByteBuffer record, final long start) throws IOException {
+        final ByteBuffer remaining = record.duplicate();
+        long position = start;
+        while (remaining.hasRemaining()) {
+            position += file.write(remaining, position);
         }
         return position;
     }
--- a/src/main/java/railspar/list/TableUpdate.java
+++ b/src/main/java/railspar/list/TableUpdate.java
@@ -5,44 +5,44 @@
 import railspar.Courier;
 
 /**
- * Applies a list to the table and tells what that changed. A change costs what it holds; a whole list is one pass
- * over its entries and one over the table's rows.
+ * Applies a list to the table and reports the differences. The cost of an incremental list depends only on its entries;
+ * a full list takes one pass over its entries and one over the rows of the table.
  */
 public final class TableUpdate {
-    /** What a list's word on an endpoint changed. */
+    /** What an entry of a list changes. */
     public enum Change {
-        /** It was not listed before. */
+        /** The endpoint was not listed before. */
         ADDED,
-        /** What the decisions go by has changed. */
+        /** A field other than the address has changed. */
         CHANGED,
-        /** Only its address has changed. */
+        /** Only the address has changed. */
         MOVED,
         /** Nothing has changed. */
         SAME,
-        /** The list says that it is gone: {@link Listener#onRemoved} follows. */
+        /** The list says that the endpoint is gone; {@link Listener#onRemoved} follows. */
         GONE
     }
 
-    /** Who hears of each entry, while the endpoint can be looked up in the table. */
+    /** Receives the changes, while the endpoint can be looked up in the table. */
     public interface Listener {
-        /** The list names an endpoint, as the table has it now. */
+        /** The list names an endpoint; the table already contains its new state. */
         void onEntry(long endpoint, Change change);
 
-        /** An endpoint is about to leave the table: it is gone, or a whole list does not name it. */
+        /** An endpoint is about to be removed: it is gone, or a full list does not contain it. */
         void onRemoved(long endpoint);
 
-        /** An entry cannot be used; of one that is known, its condition may be. */
+        /** An entry cannot be used, except perhaps the condition that it gives for a known endpoint. */
         void onUnusableEntry(String problem);
     }
 
     private final EndpointTable table;
     private final StagedList list;
     private final Listener listener;
-    /** Rows that a whole list has named. */
-    private final BitSet named = new BitSet();
-    /** Rows that go once all is told: none is reused within one list. */
-    private final IntStream.Builder gone = IntStream.builder();
-    /** The table's numbers of the list's zones and kinds. */
+    /** Rows that a full list has named. */
+    private final BitSet namedRows = new BitSet();
+    /** Rows to be removed after all entries are applied, so that no row is reused within one list. */
+    private final IntStream.Builder goneRows = IntStream.builder();
+    /** Maps the list's numbers of zones to the numbers in the table; {@link #kinds} does the same for kinds. */
     private final int[] zones;
 
     private final int[] kinds;
@@ -59,15 +59,15 @@
     /**
      * Applies a list.
      *
-     * @throws ListFormatException if its version is lower than the one in force, or it has more zones or kinds than
-     * can be numbered; the table's endpoints are as before then
+     * @throws ListFormatException if its version is lower than the current one, or it has more zones or kinds than can
+     * be numbered; the endpoints of the table are unchanged then
      */
     public static void apply(final EndpointTable table, final StagedList list, final Listener listener)
             throws ListFormatException {
         if (list.version() != StagedList.NO_VERSION && list.version() < table.version()) {
             throw new ListFormatException(
                     ListFormatException.Fault.OLDER_VERSION,
-                    "its version " + list.version() + " is older than " + table.version() + ", which is in force");
+                    "its version " + list.version() + " is older than " + table.version() + ", the current one");
         }
         new TableUpdate(table, list, listener).run();
     }
@@ -81,11 +81,11 @@
     }
 
     private void run() {
-        list.forEach(this::take);
+        list.forEach(this::applyEntry);
         if (list.isFull()) {
-            findMissing();
+            markMissingGone();
         }
-        gone.build().forEach(row -> {
+        goneRows.build().forEach(row -> {
             listener.onRemoved(table.id(row));
             table.remove(row);
         });
@@ -95,71 +95,71 @@
         }
     }
 
-    private void take(final StagedEntry entry) {
+    private void applyEntry(final StagedEntry entry) {
         table.countVisit();
-        final int row = table.find(entry);
+        final int row = table.findRow(entry);
         final boolean known = row != EndpointTable.NONE && table.isListedRow(row);
         if (!entry.isComplete()) {
             listener.onUnusableEntry(entry.problem);
             if (known) {
-                takeCondition(row, entry.condition);
+                applyCondition(row, entry.condition);
             }
         } else if (entry.condition == Courier.Condition.GONE) {
             table.destinationIndex(entry.destination);
             if (row != EndpointTable.NONE) {
-                goes(row);
+                markGone(row);
             }
         } else if (known) {
             final boolean moved = entry.hasAddress && !table.hasAddressOf(row, entry);
-            final boolean changed = set(row, entry);
-            stays(row, changed ? Change.CHANGED : moved ? Change.MOVED : Change.SAME);
+            final boolean changed = setEntry(row, entry);
+            reportPresent(row, changed ? Change.CHANGED : moved ? Change.MOVED : Change.SAME);
         } else if (entry.hasAddress) {
-            final int fresh =
+            final int added =
                     row == EndpointTable.NONE ? table.newRow(entry.nameBytes, entry.nameFrom, entry.nameLength) : row;
-            set(fresh, entry);
-            stays(fresh, Change.ADDED);
+            setEntry(added, entry);
+            reportPresent(added, Change.ADDED);
         } else {
             listener.onUnusableEntry(entry.problem);
         }
     }
 
-    private boolean set(final int row, final StagedEntry entry) {
-        return table.set(row, entry, zones[entry.zone], kinds[entry.kind]);
+    private boolean setEntry(final int row, final StagedEntry entry) {
+        return table.setEntry(row, entry, zones[entry.zone], kinds[entry.kind]);
     }
 
-    private void takeCondition(final int row, final Courier.Condition condition) {
+    private void applyCondition(final int row, final Courier.Condition condition) {
         if (condition == Courier.Condition.GONE) {
-            goes(row);
+            markGone(row);
         } else {
             final boolean changed = condition != null && table.setCondition(row, condition);
-            stays(row, changed ? Change.CHANGED : Change.SAME);
+            reportPresent(row, changed ? Change.CHANGED : Change.SAME);
         }
     }
 
-    private void isNamed(final int row) {
+    private void markNamed(final int row) {
         if (list.isFull()) {
-            named.set(row);
+            namedRows.set(row);
         }
     }
 
-    private void stays(final int row, final Change change) {
-        isNamed(row);
+    private void reportPresent(final int row, final Change change) {
+        markNamed(row);
         listener.onEntry(table.id(row), change);
     }
 
-    private void goes(final int row) {
-        isNamed(row);
+    private void markGone(final int row) {
+        markNamed(row);
         if (table.isListedRow(row)) {
             listener.onEntry(table.id(row), Change.GONE);
         }
-        gone.add(row);
+        goneRows.add(row);
     }
 
-    private void findMissing() {
-        for (int row = 0; row < table.rows(); row++) {
+    private void markMissingGone() {
+        for (int row = 0; row < table.rowCount(); row++) {
             table.countVisit();
-            if (table.isListedRow(row) && !named.get(row)) {
-                gone.add(row);
+            if (table.isListedRow(row) && !namedRows.get(row)) {
+                goneRows.add(row);
             }
         }
     }
--- a/src/main/java/railspar/list/package-info.java
+++ b/src/main/java/railspar/list/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The list of endpoints at the size of a large fleet: a parser that never holds a whole line, a packed table, and a
- * copy on disk that outlasts the process. Nothing in here knows of sockets or of the event loop; one thread at a time
- * uses it.
+ * The list of endpoints, designed for the size of a large fleet: an incremental parser that never buffers a whole
+ * line, a packed table, and a stored list on disk that outlasts the process. The package is independent of sockets and
+ * of the event loop. It is not thread-safe: only one thread may use its objects at a time.
  */
 package railspar.list;
--- a/src/test/java/railspar/list/EndpointTableTest.java
+++ b/src/test/java/railspar/list/EndpointTableTest.java
@@ -18,13 +18,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import railspar.Courier;
 
-/** The table and its updates: what is told of each entry, what a change costs, and what a row takes. */
+/** Tests the table and its updates: the reported differences, the cost of a change and the heap bytes of a row. */
 final class EndpointTableTest {
-    private static final String AT = "127.0.0.1:7070";
+    private static final String ADDRESS = "127.0.0.1:7070";
     private final EndpointTable table = new EndpointTable();
 
-    private List<String> apply(final long version, final boolean whole, final String... entries) throws IOException {
-        return TestLists.apply(table, TestLists.list(version, whole, entries));
+    private List<String> apply(final long version, final boolean full, final String... entries) throws IOException {
+        return TestLists.apply(table, TestLists.list(version, full, entries));
     }
 
     private List<String> namesAt(final long destination) {
@@ -34,101 +34,109 @@
     }
 
     @Test
-    void tellsWhatEachEntryChanged() throws IOException {
+    void reportsTheDifferenceThatEachEntryMakes() throws IOException {
         assertEquals(
                 List.of("ADDED a", "ADDED b", "ADDED c"),
                 apply(
                         1,
                         true,
-                        TestLists.entry("a", AT, 7, "Ready"),
-                        TestLists.entry("b", AT, 7, "Ready"),
-                        TestLists.entry("c", AT, 8, "Ready")));
+                        TestLists.entry("a", ADDRESS, 7, "Ready"),
+                        TestLists.entry("b", ADDRESS, 7, "Ready"),
+                        TestLists.entry("c", ADDRESS, 8, "Ready")));
         assertEquals(
                 List.of("SAME a", "MOVED b", "CHANGED c", "ADDED d"),
                 apply(
                         2,
                         false,
-                        TestLists.entry("a", AT, 7, "Ready"),
+                        TestLists.entry("a", ADDRESS, 7, "Ready"),
                         TestLists.entry("b", "127.0.0.1:7071", 7, "Ready"),
-                        TestLists.entry("c", AT, 8, "Terminating"),
-                        TestLists.entry("d", AT, 7, "Ready")));
+                        TestLists.entry("c", ADDRESS, 8, "Terminating"),
+                        TestLists.entry("d", ADDRESS, 7, "Ready")));
         assertEquals(List.of("a", "b", "d"), namesAt(7));
         assertEquals(
                 List.of("GONE b", "removed b"),
-                apply(3, false, TestLists.entry("b", AT, 7, "Gone"), TestLists.entry("unknown", AT, 99, "Gone")));
+                apply(
+                        3,
+                        false,
+                        TestLists.entry("b", ADDRESS, 7, "Gone"),
+                        TestLists.entry("unknown", ADDRESS, 99, "Gone")));
         assertTrue(table.knowsDestination(99));
         assertEquals(
                 List.of("CHANGED d", "SAME c", "removed a"),
-                apply(4, true, TestLists.entry("d", AT, 8, "Ready"), TestLists.entry("c", AT, 8, "Terminating")));
+                apply(
+                        4,
+                        true,
+                        TestLists.entry("d", ADDRESS, 8, "Ready"),
+                        TestLists.entry("c", ADDRESS, 8, "Terminating")));
         assertEquals(List.of(), namesAt(7));
         assertEquals(List.of("c", "d"), namesAt(8));
-        assertTrue(table.knowsDestination(7), "named once");
+        assertTrue(table.knowsDestination(7), "it was in an earlier list");
         assertFalse(table.knowsDestination(5));
         assertEquals(2, table.size());
         assertEquals(4, table.version());
     }
 
     @Test
-    void anIdHoldsWhileItsNameIsKnownAndIsNeverGivenAgain() throws IOException {
-        apply(1, true, TestLists.entry("a", AT, 7, "Ready"));
+    void anIdIsValidWhileItsNameIsKnownAndIsNeverReused() throws IOException {
+        apply(1, true, TestLists.entry("a", ADDRESS, 7, "Ready"));
         final long first = table.idOf("a");
-        apply(2, false, TestLists.entry("a", AT, 9, "Terminating"));
+        apply(2, false, TestLists.entry("a", ADDRESS, 9, "Terminating"));
         assertEquals(first, table.idOf("a"));
-        apply(3, false, TestLists.entry("a", AT, 9, "Gone"));
+        apply(3, false, TestLists.entry("a", ADDRESS, 9, "Gone"));
         assertNull(table.idOf("a"));
         assertFalse(table.isListed(first));
         assertEquals("", table.nameOf(first));
-        apply(4, false, TestLists.entry("b", AT, 9, "Ready"));
-        assertNotEquals(first, table.idOf("b"), "its row is used again, its id is not");
+        apply(4, false, TestLists.entry("b", ADDRESS, 9, "Ready"));
+        assertNotEquals(first, table.idOf("b"), "the row is reused, the id is not");
         assertThrows(IllegalArgumentException.class, () -> table.zoneOf(first));
     }
 
     @Test
-    void aReservedNameKeepsItsIdWhenAListNamesIt() throws IOException {
+    void aReservedNameKeepsItsIdWhenAListContainsIt() throws IOException {
         final long id = table.reserve("a");
         assertFalse(table.isListed(id));
         assertEquals("a", table.nameOf(id));
         apply(1, true);
-        assertEquals(id, table.idOf("a"), "no list has named it, so no list takes it away");
-        assertEquals(List.of("ADDED a"), apply(2, false, TestLists.entry("a", AT, 7, "Ready")));
+        assertEquals(id, table.idOf("a"), "a full list removes only listed endpoints");
+        assertEquals(List.of("ADDED a"), apply(2, false, TestLists.entry("a", ADDRESS, 7, "Ready")));
         assertEquals(id, table.idOf("a"));
         assertEquals(1, table.size());
     }
 
     @Test
-    void anEntryThatCannotBeUsedStillSaysThatAKnownEndpointDrains() throws IOException {
-        apply(1, true, TestLists.entry("a", AT, 7, "Ready"));
-        final List<String> told = apply(
+    void anUnusableEntryStillSetsTheConditionOfAKnownEndpoint() throws IOException {
+        apply(1, true, TestLists.entry("a", ADDRESS, 7, "Ready"));
+        final List<String> events = apply(
                 2,
                 false,
                 "{\"host\":\"a\",\"health\":\"Terminating\"}",
                 "{\"host\":\"new\",\"dial\":\"nowhere\",\"block\":8,\"health\":\"Ready\"}",
-                TestLists.entry("b", AT, 8, "Ready"));
-        assertEquals("CHANGED a", told.get(1));
-        assertEquals("unusable 'dial' is no address: 'nowhere'", told.get(2));
-        assertEquals("ADDED b", told.get(3));
+                TestLists.entry("b", ADDRESS, 8, "Ready"));
+        assertEquals("CHANGED a", events.get(1));
+        assertEquals("unusable 'dial' is not an IPv4 address with a port: 'nowhere'", events.get(2));
+        assertEquals("ADDED b", events.get(3));
         assertEquals(Courier.Condition.DRAINING, table.conditionOf(table.idOf("a")));
         assertEquals(7, table.destinationOf(table.idOf("a")));
         assertEquals(
                 List.of("CHANGED a"),
                 apply(3, false, "{\"host\":\"a\",\"dial\":\"bad\",\"block\":7,\"health\":\"Ready\"}"),
-                "its old address holds");
+                "it keeps its old address");
         assertEquals(7070, table.addressOf(table.idOf("a")).getPort());
     }
 
     @Test
     void anOlderVersionChangesNothing() throws IOException {
-        apply(5, true, TestLists.entry("a", AT, 7, "Ready"));
+        apply(5, true, TestLists.entry("a", ADDRESS, 7, "Ready"));
         final String before = TestLists.describe(table);
-        final ListFormatException refused =
-                assertThrows(ListFormatException.class, () -> apply(4, true, TestLists.entry("b", AT, 7, "Ready")));
-        assertEquals(ListFormatException.Fault.OLDER_VERSION, refused.fault());
+        final ListFormatException rejection = assertThrows(
+                ListFormatException.class, () -> apply(4, true, TestLists.entry("b", ADDRESS, 7, "Ready")));
+        assertEquals(ListFormatException.Fault.OLDER_VERSION, rejection.fault());
         assertEquals(before, TestLists.describe(table));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {5_000, 10_000, 20_000, 45_000})
-    void aChangeVisitsWhatItHoldsWhateverTheSizeOfTheList(final int destinations) throws IOException {
+    void anIncrementalListVisitsOnlyItsOwnEntriesWhateverTheSizeOfTheTable(final int destinations) throws IOException {
         TestLists.apply(table, TestLists.fleet(1, destinations));
         final long endpoints = table.size();
         assertEquals(destinations * 17L / 10, endpoints);
@@ -137,20 +145,23 @@
         apply(2, false, TestLists.entry(TestLists.name(17), TestLists.dial(17), 17, "Terminating"));
         assertEquals(1, table.entriesVisited() - before);
         TestLists.apply(table, TestLists.fleet(3, destinations));
-        assertEquals(1 + 2 * endpoints, table.entriesVisited() - before, "a whole list is one pass");
+        assertEquals(
+                1 + 2 * endpoints,
+                table.entriesVisited() - before,
+                "a full list takes one pass over its entries and one over the rows");
     }
 
-    /** Names come and go at random; the table agrees with a plain map throughout, and its arrays do not leak. */
+    /** Endpoints are added and removed at random: the table must match a plain map, and its arrays must not leak. */
     @Test
-    void agreesWithAPlainMapWhileEndpointsComeAndGo() throws IOException {
+    void matchesAPlainMapAfterRandomAdditionsAndRemovals() throws IOException {
         final Map<String, Long> model = new HashMap<>();
         final Random random = new Random(19);
         for (long version = 1; version <= 4000; version++) {
             final String name = TestLists.name(random.nextInt(300));
             final long destination = random.nextInt(100);
-            final boolean goes = random.nextInt(3) == 0;
-            apply(version, false, TestLists.entry(name, AT, destination, goes ? "Gone" : "Ready"));
-            if (goes) {
+            final boolean removed = random.nextInt(3) == 0;
+            apply(version, false, TestLists.entry(name, ADDRESS, destination, removed ? "Gone" : "Ready"));
+            if (removed) {
                 model.remove(name);
             } else {
                 model.put(name, destination);
--- a/src/test/java/railspar/list/ListParserTest.java
+++ b/src/test/java/railspar/list/ListParserTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import railspar.list.ListFormatException.Fault;
 
-/** Lists in any pieces, in any order of their fields, and in all the ways in which they can be spoilt. */
+/** Tests lists split at any byte, with fields in any order, and with each fault that a list can have. */
 final class ListParserTest {
     private static final String ONE = TestLists.entry("e1", "127.0.0.1:7070", 7, "Ready");
     private static final String TWO = TestLists.entry("e2", "127.0.0.2:65535", 8, "Terminating");
@@ -28,14 +28,14 @@
     }
 
     private static Fault fault(final String text, final long budget) {
-        final TestLists.ParsedLists told = new TestLists.ParsedLists();
-        final ListParser parser = new ListParser(budget, told);
+        final TestLists.ParsedLists parsed = new TestLists.ParsedLists();
+        final ListParser parser = new ListParser(budget, parsed);
         final byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         final ListFormatException fault = assertThrows(ListFormatException.class, () -> {
             parser.feed(bytes, 0, bytes.length);
             parser.end();
         });
-        assertEquals(List.of(), told.lists, "nothing is given away that is not whole");
+        assertEquals(List.of(), parsed.lists, "no incomplete list is passed on");
         return fault.fault();
     }
 
@@ -50,43 +50,43 @@
         assertEquals(List.of("heartbeat", "heartbeat"), events.subList(2, 4));
         assertEquals("list 43 false \u00e9-3 GONE to 9 at aff0009:1 z0 m0 3.5; ", events.get(4));
         assertEquals("heartbeat", events.get(5));
-        assertTrue(events.get(6).startsWith("unusable an entry without a host or a block"), events.get(6));
-        assertEquals("unusable an entry that is no object", events.get(7));
+        assertTrue(events.get(6).startsWith("unusable 'host' is missing or 'block' is not an integer"), events.get(6));
+        assertEquals("unusable it is not a JSON object", events.get(7));
         assertEquals("list 44 false e4 null nowhere unreachable   0.0; ", events.get(8));
         assertEquals(9, events.size());
     }
 
     @Test
-    void piecesOfAnySizeGiveTheSame() throws IOException {
+    void inputSplitAtAnyByteGivesTheSameEvents() throws IOException {
         final List<String> atOnce = TestLists.parse(STREAM).events;
         final byte[] bytes = STREAM.getBytes(StandardCharsets.UTF_8);
         final Random random = new Random(19);
         for (int round = 0; round < 200; round++) {
-            final TestLists.ParsedLists told = new TestLists.ParsedLists();
-            final ListParser parser = new ListParser(TestLists.BUDGET, told);
+            final TestLists.ParsedLists parsed = new TestLists.ParsedLists();
+            final ListParser parser = new ListParser(TestLists.BUDGET, parsed);
             int at = 0;
             while (at < bytes.length) {
                 final int length = round == 0 ? 1 : Math.min(bytes.length - at, 1 + random.nextInt(round));
                 parser.feed(bytes, at, length);
                 at += length;
             }
-            assertEquals(atOnce, told.events);
+            assertEquals(atOnce, parsed.events);
         }
     }
 
     @Test
-    void whatBreaksOffAnywhereGivesNothingAway() throws IOException {
+    void inputTruncatedAtAnyByteGivesNoList() throws IOException {
         final String list = TestLists.list(41, true, ONE, TWO);
         final byte[] bytes = list.trim().getBytes(StandardCharsets.UTF_8);
         for (int length = 1; length < bytes.length; length++) {
-            final TestLists.ParsedLists told = new TestLists.ParsedLists();
-            final ListParser parser = new ListParser(TestLists.BUDGET, told);
+            final TestLists.ParsedLists parsed = new TestLists.ParsedLists();
+            final ListParser parser = new ListParser(TestLists.BUDGET, parsed);
             parser.feed(bytes, 0, length);
             assertTrue(parser.isWithinObject());
             assertEquals(
                     Fault.TRUNCATED,
                     assertThrows(ListFormatException.class, parser::end).fault());
-            assertEquals(List.of(), told.events);
+            assertEquals(List.of(), parsed.events);
         }
     }
 
@@ -101,17 +101,17 @@
                 "5\n",
                 "{\"seq\":42,\"whole\":true}"
             })
-    void garbageIsNamed(final String text) {
+    void malformedInputIsReported(final String text) {
         assertEquals(Fault.MALFORMED, fault(text));
     }
 
     @Test
-    void anObjectThatAnEmptyLineBreaksOffIsNamed() {
+    void anEmptyLineInsideAnObjectIsReported() {
         assertEquals(Fault.TRUNCATED, fault("{\n \"seq\": 42,\n\n"));
     }
 
     @Test
-    void anEndpointNamedTwiceSpoilsItsObject() {
+    void aListThatNamesAnEndpointTwiceIsRejected() {
         assertEquals(Fault.REPEATED_ENTRY, fault(TestLists.list(41, true, ONE, TWO, ONE)));
         assertEquals(
                 Fault.REPEATED_ENTRY,
@@ -120,12 +120,12 @@
     }
 
     @Test
-    void anObjectLargerThanItsBudgetIsRefused() {
+    void aListLargerThanItsBudgetIsRejected() {
         assertEquals(Fault.TOO_LARGE, fault(TestLists.fleet(1, 5000), 100_000));
     }
 
     @Test
-    void whatNeverEndsIsRefusedWhereverItGoesOn() {
+    void endlessInputIsRejectedWhereverItContinues() {
         assertEquals(Fault.TOO_LARGE, fault("{\"hosts\":[" + (ONE.replace("e1", "")) + ",5".repeat(500_000), 100_000));
         assertEquals(Fault.TOO_LARGE, fault(" ".repeat(900_000), 100_000));
         assertEquals(Fault.TOO_LARGE, fault("{\"x\":[" + "1,".repeat(500_000), 100_000));
--- a/src/test/java/railspar/list/ListStoreTest.java
+++ b/src/test/java/railspar/list/ListStoreTest.java
@@ -17,22 +17,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The copy of the list on disk: what a kill at any byte leaves of it, and what it takes. */
+/** Tests the stored list: what a kill after any written byte leaves of it, and how much disk it takes. */
 final class ListStoreTest {
     private static final long SETTINGS = 19;
     private static final long BUDGET = 1 << 20;
-    private static final String AT = "127.0.0.1:7070";
+    private static final String ADDRESS = "127.0.0.1:7070";
 
     @TempDir
     private Path folder;
 
     private final List<String> log = new ArrayList<>();
 
-    /** A process: its table, and its store. */
+    /** A courier process: its table and its store. */
     private final class Courier {
         private final ListStore store;
         private EndpointTable table = new EndpointTable();
-        private int bases;
+        private int snapshots;
 
         Courier(final long budget) {
             store = new ListStore(folder, SETTINGS, budget, log::add);
@@ -44,29 +44,29 @@
             return this;
         }
 
-        Courier own() {
+        Courier takeOwnership() {
             store.takeOwnership(table);
             return this;
         }
 
-        void take(final String text) throws IOException {
+        void apply(final String text) throws IOException {
             for (final StagedList list : TestLists.parse(text).lists) {
-                TableUpdate.apply(table, list, new Kept());
+                TableUpdate.apply(table, list, new StoreUpdate());
                 final boolean wasWriting = store.isWriting();
                 store.commit(table);
-                bases += store.isWriting() && !wasWriting ? 1 : 0;
+                snapshots += store.isWriting() && !wasWriting ? 1 : 0;
             }
         }
 
-        void finish() {
+        void finishSnapshot() {
             while (store.isWriting()) {
                 store.writeSlice(table);
                 assertTrue(diskBytes() <= BUDGET);
             }
         }
 
-        /** Tells the store what a list changed. */
-        private final class Kept implements TableUpdate.Listener {
+        /** Passes the changes of a list to the store. */
+        private final class StoreUpdate implements TableUpdate.Listener {
             @Override
             public void onEntry(final long endpoint, final TableUpdate.Change change) {
                 if (change != TableUpdate.Change.SAME && change != TableUpdate.Change.GONE) {
@@ -87,7 +87,7 @@
     }
 
     private static String change(final long version, final int index, final String health) {
-        return TestLists.list(version, false, TestLists.entry("e" + index, AT, index % 5, health));
+        return TestLists.list(version, false, TestLists.entry("e" + index, ADDRESS, index % 5, health));
     }
 
     private long diskBytes() {
@@ -105,11 +105,11 @@
         }
     }
 
-    private byte[] stored() throws IOException {
+    private byte[] readFile() throws IOException {
         return Files.readAllBytes(folder.resolve("list"));
     }
 
-    private void store(final byte[] bytes) throws IOException {
+    private void writeFile(final byte[] bytes) throws IOException {
         Files.write(folder.resolve("list"), bytes);
     }
 
@@ -117,38 +117,38 @@
         return new ListStore(folder, SETTINGS, BUDGET, log::add).load(0);
     }
 
-    /** A base and some changes; the result is how the table stood at each version. */
-    private List<String> write() throws IOException {
-        final Courier courier = new Courier(BUDGET).own();
+    /** Stores a snapshot and some changes; returns the contents of the table at each version. */
+    private List<String> storeVersions() throws IOException {
+        final Courier courier = new Courier(BUDGET).takeOwnership();
         final List<String> states = new ArrayList<>();
-        courier.take(TestLists.fleet(1, 5));
-        courier.finish();
+        courier.apply(TestLists.fleet(1, 5));
+        courier.finishSnapshot();
         states.add(TestLists.describe(courier.table));
         for (int version = 2; version <= 6; version++) {
-            courier.take(change(version, version % 3, version == 5 ? "Gone" : "Ready"));
+            courier.apply(change(version, version % 3, version == 5 ? "Gone" : "Ready"));
             states.add(TestLists.describe(courier.table));
         }
-        courier.take(TestLists.list(7, true, TestLists.entry("e9", AT, 4, "Terminating")));
+        courier.apply(TestLists.list(7, true, TestLists.entry("e9", ADDRESS, 4, "Terminating")));
         states.add(TestLists.describe(courier.table));
         courier.store.releaseOwnership();
         return states;
     }
 
     @Test
-    void aRestartHasTheListAsItWas() throws IOException {
-        final List<String> states = write();
+    void aRestartLoadsTheListAsItWas() throws IOException {
+        final List<String> states = storeVersions();
         assertEquals(states.get(states.size() - 1), TestLists.describe(load()));
         assertEquals("the stored list is at 7 with 1 endpoints", log.get(0));
     }
 
     @Test
-    void aFileCutOffAtAnyByteGivesAnEarlierStateOrNone() throws IOException {
-        final List<String> states = write();
-        final byte[] whole = stored();
+    void aFileTruncatedAtAnyByteGivesAnEarlierVersionOrNone() throws IOException {
+        final List<String> states = storeVersions();
+        final byte[] whole = readFile();
         int dropped = 0;
         int last = -1;
         for (int length = 0; length < whole.length; length++) {
-            store(Arrays.copyOf(whole, length));
+            writeFile(Arrays.copyOf(whole, length));
             log.clear();
             final Courier courier = new Courier(BUDGET);
             final EndpointTable found = courier.store.load(0);
@@ -159,38 +159,41 @@
                             .count());
             if (found == null) {
                 dropped++;
-                assertEquals(-1, last, "once the base is whole, it is used");
+                assertEquals(-1, last, "a complete snapshot is used");
                 continue;
             }
             final int state = states.indexOf(TestLists.describe(found));
             assertTrue(state >= last, "at " + length + " bytes: " + TestLists.describe(found));
             last = state;
             courier.table = found;
-            courier.own().take(change(99, 50, "Ready"));
-            courier.finish();
+            courier.takeOwnership().apply(change(99, 50, "Ready"));
+            courier.finishSnapshot();
             courier.store.releaseOwnership();
-            assertEquals(TestLists.describe(courier.table), TestLists.describe(load()), "it goes on behind the cut");
+            assertEquals(
+                    TestLists.describe(courier.table),
+                    TestLists.describe(load()),
+                    "changes are appended after the last complete one");
         }
-        assertEquals(states.size() - 2, last, "the last change needs its last byte");
-        assertTrue(dropped > 100, "no base that is torn was used");
+        assertEquals(states.size() - 2, last, "the last change is not used without its last byte");
+        assertTrue(dropped > 100, "an incomplete snapshot is not used");
     }
 
     @Test
-    void aFileSpoiltAtAnyByteGivesAnEarlierStateOrNone() throws IOException {
-        final List<String> states = write();
-        final byte[] whole = stored();
-        for (int at = 0; at < whole.length; at++) {
-            final byte[] spoilt = whole.clone();
-            spoilt[at] ^= 0x55;
-            store(spoilt);
+    void aFileCorruptedAtAnyByteGivesAnEarlierVersionOrNone() throws IOException {
+        final List<String> states = storeVersions();
+        final byte[] whole = readFile();
+        for (int offset = 0; offset < whole.length; offset++) {
+            final byte[] corrupted = whole.clone();
+            corrupted[offset] ^= 0x55;
+            writeFile(corrupted);
             final EndpointTable found = load();
             assertTrue(found == null || states.subList(0, states.size() - 1).contains(TestLists.describe(found)));
         }
     }
 
     @Test
-    void aCopyFromOtherSettingsOrOlderThanTheConfigurationIsDropped() throws IOException {
-        write();
+    void aStoredListOfOtherSettingsOrOlderThanTheConfigurationIsDropped() throws IOException {
+        storeVersions();
         assertNull(new ListStore(folder, SETTINGS + 1, BUDGET, log::add).load(0));
         assertNull(new ListStore(folder, SETTINGS, BUDGET, log::add).load(8));
         assertNotNull(new ListStore(folder, SETTINGS, BUDGET, log::add).load(7));
@@ -199,18 +202,18 @@
     }
 
     @Test
-    void changesWhileABaseIsWrittenAndAKillAtEachSliceLoseNothingThatWasThere() throws IOException {
-        final Courier courier = new Courier(BUDGET).own();
-        courier.take(TestLists.fleet(1, 2000));
+    void changesDuringASnapshotAreNotLostAndAnIncompleteSnapshotIsNotUsed() throws IOException {
+        final Courier courier = new Courier(BUDGET).takeOwnership();
+        courier.apply(TestLists.fleet(1, 2000));
         int slices = 0;
         while (courier.store.isWriting()) {
-            assertNull(load(), "a base that is not whole is not there");
-            courier.take(change(2 + slices, slices, slices % 3 == 2 ? "Gone" : "Ready"));
-            courier.take(TestLists.list(
+            assertNull(load(), "an incomplete snapshot is not visible");
+            courier.apply(change(2 + slices, slices, slices % 3 == 2 ? "Gone" : "Ready"));
+            courier.apply(TestLists.list(
                     2 + slices,
                     false,
-                    TestLists.entry(TestLists.name(3000 - slices), AT, 0, "Gone"),
-                    TestLists.entry(TestLists.name(slices), AT, 1, "Gone")));
+                    TestLists.entry(TestLists.name(3000 - slices), ADDRESS, 0, "Gone"),
+                    TestLists.entry(TestLists.name(slices), ADDRESS, 1, "Gone")));
             courier.store.writeSlice(courier.table);
             slices++;
         }
@@ -219,60 +222,61 @@
     }
 
     @Test
-    void whatCameBeforeTheProcessOwnsTheFileIsWrittenOnceItDoes() throws IOException {
-        write();
+    void changesFromBeforeOwnershipAreWrittenOnceTheProcessOwnsTheFile() throws IOException {
+        storeVersions();
         final Courier courier = new Courier(BUDGET).load();
-        final byte[] before = stored();
-        courier.take(change(8, 1, "Ready"));
+        final byte[] before = readFile();
+        courier.apply(change(8, 1, "Ready"));
         assertFalse(courier.store.isWriting());
-        assertTrue(Arrays.equals(before, stored()), "another process may own it");
-        courier.own();
-        assertFalse(courier.store.isWriting(), "a change is appended, not a base written");
+        assertTrue(Arrays.equals(before, readFile()), "another process may still own the file");
+        courier.takeOwnership();
+        assertFalse(courier.store.isWriting(), "the change is appended without a new snapshot");
         assertEquals(TestLists.describe(courier.table), TestLists.describe(load()));
     }
 
     @Test
-    void aFileThatAnotherProcessHasWrittenSinceIsWrittenAnew() throws IOException {
-        write();
+    void aFileThatAnotherProcessHasChangedSinceItWasLoadedIsReplaced() throws IOException {
+        storeVersions();
         final Courier waiting = new Courier(BUDGET).load();
-        final Courier serving = new Courier(BUDGET).load().own();
-        serving.take(change(8, 1, "Ready"));
-        waiting.take(change(8, 1, "Ready"));
+        final Courier serving = new Courier(BUDGET).load().takeOwnership();
+        serving.apply(change(8, 1, "Ready"));
+        waiting.apply(change(8, 1, "Ready"));
         serving.store.releaseOwnership();
-        waiting.own();
+        waiting.takeOwnership();
         assertTrue(waiting.store.isWriting());
-        waiting.finish();
+        waiting.finishSnapshot();
         assertEquals(TestLists.describe(waiting.table), TestLists.describe(load()));
     }
 
-    /** Each byte of a change costs about one more for a base. */
+    /** Each byte of a change costs about one more byte of a snapshot. */
     @Test
-    void basesAreWrittenAsOftenAsTheChangesHaveGrownAsLarge() throws IOException {
-        final Courier courier = new Courier(BUDGET).own();
-        courier.take(TestLists.fleet(1, 1000));
-        courier.finish();
-        final long base = stored().length;
+    void aSnapshotIsWrittenOnceTheChangesAreAsLargeAsTheLastOne() throws IOException {
+        final Courier courier = new Courier(BUDGET).takeOwnership();
+        courier.apply(TestLists.fleet(1, 1000));
+        courier.finishSnapshot();
+        final long snapshot = readFile().length;
         final int perChange = 80;
-        final int changes = (int) (10 * base / perChange);
+        final int changes = (int) (10 * snapshot / perChange);
         for (int version = 2; version < 2 + changes; version++) {
-            courier.take(TestLists.list(
+            courier.apply(TestLists.list(
                     version,
                     false,
-                    TestLists.entry(TestLists.name(7), AT, 7, version % 2 == 0 ? "Ready" : "Terminating")));
-            courier.finish();
-            assertTrue(stored().length <= 2 * base + 1024, stored().length + " bytes, the base " + base);
+                    TestLists.entry(TestLists.name(7), ADDRESS, 7, version % 2 == 0 ? "Ready" : "Terminating")));
+            courier.finishSnapshot();
+            assertTrue(
+                    readFile().length <= 2 * snapshot + 1024, readFile().length + " bytes, the snapshot " + snapshot);
         }
-        assertTrue(courier.bases >= 5 && courier.bases <= 12, courier.bases + " bases");
+        assertTrue(courier.snapshots >= 5 && courier.snapshots <= 12, courier.snapshots + " snapshots");
         assertEquals(TestLists.describe(courier.table), TestLists.describe(load()));
     }
 
     @Test
-    void aListThatOutgrowsItsBudgetIsNotKeptAndThatIsSaidOnce() throws IOException {
+    void aListThatOutgrowsItsBudgetIsNotStoredAndThatIsLoggedOnce() throws IOException {
         final long budget = 20_000;
-        final Courier courier = new Courier(budget).own();
+        final Courier courier = new Courier(budget).takeOwnership();
         int version = 1;
         for (; version < 400; version++) {
-            courier.take(change(version, version, "Ready"));
+            courier.apply(change(version, version, "Ready"));
             while (courier.store.isWriting()) {
                 courier.store.writeSlice(courier.table);
                 assertTrue(diskBytes() <= budget, diskBytes() + " bytes");
@@ -284,19 +288,19 @@
                         TestLists.describe(new ListStore(folder, SETTINGS, budget, line -> {}).load(0)));
             }
         }
-        assertEquals(List.of("no copy of the list is kept: it needs more than the 20000 bytes there are for it"), log);
+        assertEquals(List.of("no copy of the list is kept: it needs more than its budget of 20000 bytes"), log);
         assertEquals(0, diskBytes());
         assertTrue(courier.table.size() > 300);
     }
 
     @Test
-    void aBaseOfTheTargetSizeTakesLessThanSixtyBytesAnEndpoint() throws IOException {
-        final Courier courier = new Courier(32 << 20).own();
-        courier.take(TestLists.fleet(1, 45_000));
+    void aSnapshotOfTheTargetSizeTakesLessThanSixtyBytesAnEndpoint() throws IOException {
+        final Courier courier = new Courier(32 << 20).takeOwnership();
+        courier.apply(TestLists.fleet(1, 45_000));
         while (courier.store.isWriting()) {
             courier.store.writeSlice(courier.table);
         }
-        assertTrue(stored().length <= 60L * courier.table.size(), stored().length + " bytes");
+        assertTrue(readFile().length <= 60L * courier.table.size(), readFile().length + " bytes");
         assertEquals(TestLists.describe(courier.table), TestLists.describe(load()));
     }
 }
--- a/src/test/java/railspar/list/TestLists.java
+++ b/src/test/java/railspar/list/TestLists.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** Lists as discovery writes them, and what the tests read out of a table. */
+/** Builds lists as discovery writes them, and describes parsed lists and tables as text. */
 final class TestLists {
     static final long BUDGET = 64 << 20;
 
@@ -18,11 +18,11 @@
                 + "\",\"share\":" + (1 + destination % 7) + ".5,\"born_ms\":0}";
     }
 
-    static String list(final long version, final boolean whole, final String... entries) {
-        return "{\"seq\":" + version + ",\"whole\":" + whole + ",\"hosts\":[" + String.join(",", entries) + "]}\n";
+    static String list(final long version, final boolean full, final String... entries) {
+        return "{\"seq\":" + version + ",\"whole\":" + full + ",\"hosts\":[" + String.join(",", entries) + "]}\n";
     }
 
-    /** A whole list of so many destinations, with 1.7 endpoints each. */
+    /** A full list of the given number of destinations, with 1.7 endpoints each. */
     static String fleet(final long version, final int destinations) {
         final int endpoints = destinations * 17 / 10;
         final String[] entries = new String[endpoints];
@@ -40,7 +40,7 @@
         return "10." + (index >> 16) + "." + (index >> 8 & 255) + "." + (index & 255) + ":7070";
     }
 
-    /** What a parser told, in order. */
+    /** Records the events of a parser in order. */
     static final class ParsedLists implements ListParser.Listener {
         final List<StagedList> lists = new ArrayList<>();
         final List<String> events = new ArrayList<>();
@@ -80,13 +80,13 @@
     }
 
     static ParsedLists parse(final String text) throws IOException {
-        final ParsedLists told = new ParsedLists();
+        final ParsedLists parsed = new ParsedLists();
         final byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        new ListParser(BUDGET, told).feed(bytes, 0, bytes.length);
-        return told;
+        new ListParser(BUDGET, parsed).feed(bytes, 0, bytes.length);
+        return parsed;
     }
 
-    /** What an update told. */
+    /** Records the events of an update in order. */
     static final class RecordedChanges implements TableUpdate.Listener {
         final EndpointTable table;
         final List<String> events = new ArrayList<>();
@@ -119,7 +119,7 @@
         return changes.events;
     }
 
-    /** All that a table holds, by name. */
+    /** The version and all listed endpoints of a table, sorted by name. */
     static String describe(final EndpointTable table) {
         final TreeMap<String, String> all = new TreeMap<>();
         table.forEach(endpoint -> all.put(
