--- a/src/main/java/railspar/scale/RealCourierRun.java
+++ b/src/main/java/railspar/scale/RealCourierRun.java
@@ -25,25 +25,26 @@
 import railspar.scale.standin.LoopbackPorts;
 
 /**
- * A few real couriers, as processes by the deploy file's command, before the list of the plan: their first start,
- * idle time, changes, an outage of discovery, and a start after SIGKILL. Each has discovery at an agent of its own;
- * all agents have one list. In real time; they are asked one after another, so with several a time is the last
- * one's.
+ * Measures a few real courier processes, started by the command in the deploy file, with the endpoint list of the plan:
+ * their first start, idle time, list changes, an outage of discovery, and a start after SIGKILL. Each courier has its
+ * own discovery agent; all agents serve the same list. The run takes place in real time. The couriers are queried one
+ * after another, so with several of them a measured time is that of the last one.
  */
 final class RealCourierRun {
     private static final int MEMORY_MB = 192;
     private static final int SOCKETS = 1024;
     /**
-     * In the target the journal of a courier takes about a gigabyte; the stored list has a small share of the disk.
+     * At the specified load the journal of a courier takes about a gigabyte; the stored list may use a small share of
+     * the disk.
      */
     private static final int DISK_MB = 1024;
 
-    private static final int MOST_OPEN = 5_000;
-    private static final Duration MOST_START = Duration.ofSeconds(60);
-    private static final Duration MOST_IN_FORCE = Duration.ofSeconds(30);
-    private static final Duration SETTLE = Duration.ofSeconds(3);
-    private static final Duration IDLE = Duration.ofSeconds(10);
-    private static final Duration BETWEEN_CHANGES = Duration.ofSeconds(1);
+    private static final int MAX_OPEN_MESSAGES = 5_000;
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(60);
+    private static final Duration IN_FORCE_TIMEOUT = Duration.ofSeconds(30);
+    private static final Duration SETTLE_TIME = Duration.ofSeconds(3);
+    private static final Duration IDLE_TIME = Duration.ofSeconds(10);
+    private static final Duration CHANGE_INTERVAL = Duration.ofSeconds(1);
     private static final Duration RESTART_PAUSE = Duration.ofMillis(600);
     private static final int CHANGES = 10;
     private static final double NS_PER_SECOND = 1e9;
@@ -59,33 +60,33 @@
     private final ListHistory history;
     private final List<Member> members = new ArrayList<>();
     private final FleetFigures figures;
-    private int changed;
+    private int changesMade;
 
     private RealCourierRun(
             final FleetPlan plan,
             final Duration outage,
             final PrintWriter progress,
-            final InetSocketAddress dial,
+            final InetSocketAddress endpointAddress,
             final FleetFigures figures) {
         this.plan = plan;
         this.outage = outage;
         this.progress = progress;
-        this.entries = plan.endpoints(dial);
+        this.entries = plan.endpoints(endpointAddress);
         this.history = new ListHistory(entries);
         this.figures = figures;
     }
 
-    /** Plays so many couriers of the plan and adds what was measured to the figures. */
-    static void play(
+    /** Runs this number of couriers of the plan and adds the measurements to the figures. */
+    static void run(
             final FleetPlan plan,
             final int couriers,
             final Duration outage,
             final PrintWriter progress,
             final FleetFigures figures)
             throws IOException, InterruptedException {
-        try (Socket refusing = LoopbackPorts.bindRefusingSocket()) {
-            final InetSocketAddress dial = (InetSocketAddress) refusing.getLocalSocketAddress();
-            final RealCourierRun run = new RealCourierRun(plan, outage, progress, dial, figures);
+        try (Socket refusingSocket = LoopbackPorts.bindRefusingSocket()) {
+            final InetSocketAddress endpointAddress = (InetSocketAddress) refusingSocket.getLocalSocketAddress();
+            final RealCourierRun run = new RealCourierRun(plan, outage, progress, endpointAddress, figures);
             try {
                 for (int index = 0; index < couriers; index++) {
                     run.prepare(index);
@@ -106,7 +107,7 @@
                 LoopbackPorts.findFreeAddress(),
                 LoopbackPorts.findFreeAddress(),
                 discovery.address(),
-                new CourierLimits(MEMORY_MB, SOCKETS, DISK_MB, MOST_OPEN),
+                new CourierLimits(MEMORY_MB, SOCKETS, DISK_MB, MAX_OPEN_MESSAGES),
                 plan.couriers(),
                 plan.zoneName(plan.zoneOfCourier(index)),
                 plan.seed() + index);
@@ -123,22 +124,22 @@
 
     private void measure() throws IOException, InterruptedException {
         start("first start");
-        Thread.sleep(SETTLE.toMillis());
+        Thread.sleep(SETTLE_TIME.toMillis());
         measureIdle();
         measureChanges();
         measureOutage();
         add("whole lists before the kill", wholeLists(), "", null);
-        final long before = wholeLists();
+        final long wholeListsBefore = wholeLists();
         for (final Member member : members) {
             member.courier().kill();
         }
         Thread.sleep(RESTART_PAUSE.toMillis());
         start("start after SIGKILL");
-        add("whole lists after the kill", wholeLists() - before, "", null);
+        add("whole lists after the kill", wholeLists() - wholeListsBefore, "", null);
     }
 
-    private void add(final String name, final double value, final String unit, final Double most) {
-        figures.add("real couriers: " + name, value, unit, FleetFigures.Basis.MEASURED, most);
+    private void add(final String name, final double value, final String unit, final Double max) {
+        figures.add("real couriers: " + name, value, unit, FleetFigures.Basis.MEASURED, max);
     }
 
     private void start(final String name) throws IOException {
@@ -147,33 +148,34 @@
         for (final Member member : members) {
             member.courier().start();
         }
-        double ready = 0;
-        double inForce = 0;
+        double readySeconds = 0;
+        double inForceSeconds = 0;
         for (final Member member : members) {
-            ready = Math.max(ready, seconds(member.courier().awaitReady(MOST_START)));
-            inForce = Math.max(inForce, seconds(member.courier().awaitDiscovered(entries.size(), MOST_START)));
+            readySeconds = Math.max(readySeconds, seconds(member.courier().awaitReady(START_TIMEOUT)));
+            inForceSeconds =
+                    Math.max(inForceSeconds, seconds(member.courier().awaitDiscovered(entries.size(), START_TIMEOUT)));
         }
-        add(name + ", ready", ready, "s", FleetFigures.READY_SECONDS);
-        add(name + ", whole list in force", inForce, "s", FleetFigures.READY_SECONDS);
+        add(name + ", ready", readySeconds, "s", FleetFigures.MAX_READY_SECONDS);
+        add(name + ", whole list in force", inForceSeconds, "s", FleetFigures.MAX_READY_SECONDS);
     }
 
-    /** Infinite for what did not come. */
+    /** Seconds of a duration; infinite if the event did not happen. */
     private static double seconds(final Optional<Duration> duration) {
         return duration.map(length -> length.toNanos() / NS_PER_SECOND).orElse(Double.POSITIVE_INFINITY);
     }
 
     private void measureIdle() throws IOException, InterruptedException {
         final List<ProcessSample> before = samples();
-        Thread.sleep(IDLE.toMillis());
+        Thread.sleep(IDLE_TIME.toMillis());
         final List<ProcessSample> after = samples();
-        double share = 0;
-        double peak = 0;
+        double processorShare = 0;
+        double peakBytes = 0;
         for (int index = 0; index < before.size(); index++) {
-            share = Math.max(share, after.get(index).processorShareSince(before.get(index)));
-            peak = Math.max(peak, after.get(index).peakResidentBytes());
+            processorShare = Math.max(processorShare, after.get(index).processorShareSince(before.get(index)));
+            peakBytes = Math.max(peakBytes, after.get(index).peakResidentBytes());
         }
-        add("idle, most of a core", PERCENT * share, "% of a core", FleetFigures.CONTROL_CORE_PERCENT);
-        add("resident memory, most so far", peak / BYTES_PER_MIB, "MiB", (double) MEMORY_MB);
+        add("idle, most of a core", PERCENT * processorShare, "% of a core", FleetFigures.MAX_CONTROL_CORE_PERCENT);
+        add("resident memory, most so far", peakBytes / BYTES_PER_MIB, "MiB", (double) MEMORY_MB);
     }
 
     private List<ProcessSample> samples() throws IOException {
@@ -189,27 +191,27 @@
         progress.flush();
         final Histogram inForceNs = new Histogram(3);
         for (int number = 0; number < CHANGES; number++) {
-            Thread.sleep(BETWEEN_CHANGES.toMillis());
+            Thread.sleep(CHANGE_INTERVAL.toMillis());
             inForceNs.recordValue((long) (NS_PER_SECOND * changeInForce()));
         }
         add("change in force, worst of " + CHANGES, inForceNs.getMaxValue() / NS_PER_SECOND, "s", inForceBound());
     }
 
     private static Double inForceBound() {
-        return FleetFigures.IN_FORCE_SECONDS;
+        return FleetFigures.MAX_IN_FORCE_SECONDS;
     }
 
-    /** Seconds until a change is in force at all of them; that of the longest wait, where it did not come. */
+    /** Seconds until a change is in force at all couriers; includes the full timeout of each one that missed it. */
     private double changeInForce() throws IOException {
-        final EndpointEntry entry = entries.get(changed / 2 % entries.size());
-        final boolean back = changed++ % 2 == 1;
-        final long fromNs = System.nanoTime();
+        final EndpointEntry entry = entries.get(changesMade / 2 % entries.size());
+        final boolean restore = changesMade++ % 2 == 1;
+        final long startNs = System.nanoTime();
         final long version = history.change(
-                List.of(entry.withHealth(back ? EndpointEntry.Health.READY : EndpointEntry.Health.TERMINATING)));
+                List.of(entry.withHealth(restore ? EndpointEntry.Health.READY : EndpointEntry.Health.TERMINATING)));
         for (final Member member : members) {
-            member.courier().awaitListVersion(version, MOST_IN_FORCE);
+            member.courier().awaitListVersion(version, IN_FORCE_TIMEOUT);
         }
-        return (System.nanoTime() - fromNs) / NS_PER_SECOND;
+        return (System.nanoTime() - startNs) / NS_PER_SECOND;
     }
 
     private void measureOutage() throws IOException {
--- a/src/main/java/railspar/scale/RunResult.java
+++ b/src/main/java/railspar/scale/RunResult.java
@@ -11,7 +11,7 @@
 import railspar.scale.fleet.FleetFigures;
 import railspar.scale.fleet.FleetParameters;
 
-/** The result of a run as it is written to a file. */
+/** The result of a run, as written to a JSON file. */
 record RunResult(
         FleetParameters parameters,
         int threads,
@@ -22,7 +22,7 @@
     private static final double BYTES_PER_MB = 1e6;
     private static final String UNKNOWN = "unknown";
 
-    /** The machine of the run, as the process saw it. */
+    /** The machine of the run, as the Java process sees it. */
     record Machine(int cores, double mostHeapMb, String javaVersion) {}
 
     static RunResult of(final FleetParameters parameters, final int threads, final FleetFigures figures) {
@@ -39,7 +39,7 @@
                 figures.checks());
     }
 
-    /** The commit of the folder that the process runs in, where that is a clone. */
+    /** Describes the Git commit of the working directory, or returns "unknown" if it is not in a clone. */
     private static String describeCommit() {
         try {
             final Process git = new ProcessBuilder("git", "describe", "--always", "--dirty", "--abbrev=12")
--- a/src/main/java/railspar/scale/ScaleCommand.java
+++ b/src/main/java/railspar/scale/ScaleCommand.java
@@ -11,13 +11,13 @@
 import railspar.scale.slope.SlopeCommand;
 
 /**
- * The command line of the scale tools. Exit codes: 0 when a command has done its work, 1 when it failed or found a
- * sum that does not come out even, 2 for bad arguments.
+ * The command line of the scale tools. Exit codes: 0 on success, 1 when a command failed or a consistency check does
+ * not hold, 2 for invalid arguments.
  */
 @Command(
         name = "scale",
         mixinStandardHelpOptions = true,
-        description = "Plays the couriers' surroundings at a chosen size, and measures.",
+        description = "Simulates the surroundings of couriers at a chosen size and measures the couriers.",
         subcommands = {
             RunCommand.class,
             SlopeCommand.class,
@@ -29,12 +29,12 @@
     @Spec
     private CommandSpec spec;
 
-    /** Runs a command and ends the process with its exit code. */
+    /** Runs a command and exits the process with its exit code. */
     public static void main(final String[] arguments) {
         System.exit(execute(arguments));
     }
 
-    /** Runs a command; the result is its exit code. */
+    /** Runs a command and returns its exit code. */
     public static int execute(final String... arguments) {
         return new CommandLine(new ScaleCommand())
                 .setCaseInsensitiveEnumValuesAllowed(true)
@@ -43,6 +43,6 @@
 
     @Override
     public void run() {
-        throw new ParameterException(spec.commandLine(), "a subcommand is needed");
+        throw new ParameterException(spec.commandLine(), "a subcommand is required");
     }
 }
--- a/src/main/java/railspar/scale/fleet/AnswerLoss.java
+++ b/src/main/java/railspar/scale/fleet/AnswerLoss.java
@@ -1,11 +1,11 @@
 package railspar.scale.fleet;
 
-/** Which answers of destinations the emulator loses, by a fault put in on purpose; a test of the sums. */
+/** Fault injection: decides which answers of destinations are lost, to test that the consistency checks notice. */
 @FunctionalInterface
 interface AnswerLoss {
-    /** Nothing is lost. */
+    /** No answer is lost. */
     AnswerLoss NONE = callNumber -> false;
 
-    /** True for an answer that never reaches its courier, nor does the end of the wait for it. */
-    boolean loses(long callNumber);
+    /** True if the courier gets neither the answer to this call nor its timeout. */
+    boolean isLost(long callNumber);
 }
--- a/src/main/java/railspar/scale/fleet/ControlTraffic.java
+++ b/src/main/java/railspar/scale/fleet/ControlTraffic.java
@@ -1,54 +1,55 @@
 package railspar.scale.fleet;
 
-/** Bytes between one courier and discovery, by the simulated minute. */
+/** Counts the bytes between one courier and discovery, per simulated minute. */
 final class ControlTraffic {
-    /** A request for a watch with its headers, and the head of an answer. */
-    static final int REQUEST_BYTES = 100;
+    /** Length of a watch request with its headers. */
+    static final int WATCH_REQUEST_BYTES = 100;
 
-    static final int ANSWER_HEAD_BYTES = 90;
-    /** What frames a chunk: its length in up to eight digits, and two line ends. */
-    static final int CHUNK_BYTES = 12;
-    /** An empty line and its frame. */
-    static final int EMPTY_LINE_BYTES = 6;
+    /** Length of the status line and headers of a response. */
+    static final int RESPONSE_HEAD_BYTES = 90;
+    /** Framing of an HTTP chunk: its length in up to eight digits, and two line ends. */
+    static final int CHUNK_FRAMING_BYTES = 12;
+    /** Length of a heartbeat: an empty line and its chunk framing. */
+    static final int HEARTBEAT_BYTES = 6;
 
-    private static final long MINUTE_US = Units.us(60);
+    private static final long MINUTE_US = Units.fromSeconds(60);
 
     private final long startUs;
-    private final long[] byMinute;
-    private long total, firstLists;
+    private final long[] bytesByMinute;
+    private long totalBytes, initialListBytes;
 
     ControlTraffic(final long startUs, final long endUs) {
         this.startUs = startUs;
-        this.byMinute = new long[(int) ((endUs - startUs) / MINUTE_US) + 1];
+        this.bytesByMinute = new long[(int) ((endUs - startUs) / MINUTE_US) + 1];
     }
 
     void count(final long nowUs, final long bytes) {
-        total += bytes;
+        totalBytes += bytes;
         final int minute = (int) ((nowUs - startUs) / MINUTE_US);
-        byMinute[Math.min(minute, byMinute.length - 1)] += bytes;
+        bytesByMinute[Math.min(minute, bytesByMinute.length - 1)] += bytes;
     }
 
-    /** Counts the whole list that a courier with an empty folder has to fetch: told apart from all else. */
-    void countFirstList(final long bytes) {
-        total += bytes;
-        firstLists += bytes;
+    /** Counts the whole list that a courier with an empty folder has to fetch; it is excluded from the peak minute. */
+    void countInitialList(final long bytes) {
+        totalBytes += bytes;
+        initialListBytes += bytes;
     }
 
-    long total() {
-        return total;
+    long totalBytes() {
+        return totalBytes;
     }
 
-    /** The part of the total that went for the first list. */
-    long firstLists() {
-        return firstLists;
+    /** The part of the total that was spent on initial lists. */
+    long initialListBytes() {
+        return initialListBytes;
     }
 
-    /** The most in one minute, without the first list. */
-    long worstMinute() {
-        long worst = 0;
-        for (final long bytes : byMinute) {
-            worst = Math.max(worst, bytes);
+    /** The largest number of bytes in one minute, without the initial list. */
+    long peakMinuteBytes() {
+        long peak = 0;
+        for (final long bytes : bytesByMinute) {
+            peak = Math.max(peak, bytes);
         }
-        return worst;
+        return peak;
     }
 }
--- a/src/main/java/railspar/scale/fleet/ControlUplink.java
+++ b/src/main/java/railspar/scale/fleet/ControlUplink.java
@@ -6,138 +6,144 @@
 import java.util.PriorityQueue;
 
 /**
- * The lines of the control machines, over which discovery sends its lists. Each machine serves the couriers of a
- * region, or of several, and what it sends at one time shares its line evenly. Requests are given between two slices,
- * in the order of their times.
+ * The network links of the control machines, over which discovery sends its lists. Each machine serves the couriers of
+ * one or more regions, and its concurrent transfers share its bandwidth evenly. Requests are added between two time
+ * slices, in the order of their times.
  */
 final class ControlUplink {
-    /** A line of the list on its way to one courier. */
+    /** A transfer of one line of the list to one courier. */
     static final class Transfer {
-        private final long atUs;
+        private final long requestedAtUs;
         private final int courier;
         private final int region;
         private final long bytes;
         private final Completion completion;
-        /** Bytes that the machine has sent to each of its transfers when this one ends. */
-        private double endsAtShare;
+        /** Value of {@link Link#shareBytes} at which this transfer is complete. */
+        private double endShareBytes;
 
         private boolean abandoned;
 
         /**
-         * A request for a transfer.
+         * Creates a request for a transfer.
          *
-         * @param atUs when it was asked for
-         * @param courier who asked
-         * @param region where that courier is
-         * @param bytes its length
-         * @param completion told when the last byte has left
+         * @param requestedAtUs when it was requested
+         * @param courier index of the courier that requested it
+         * @param region region of that courier
+         * @param bytes length of the transfer
+         * @param completion called when the last byte has been sent
          */
-        Transfer(final long atUs, final int courier, final int region, final long bytes, final Completion completion) {
-            this.atUs = atUs;
+        Transfer(
+                final long requestedAtUs,
+                final int courier,
+                final int region,
+                final long bytes,
+                final Completion completion) {
+            this.requestedAtUs = requestedAtUs;
             this.courier = courier;
             this.region = region;
             this.bytes = bytes;
             this.completion = completion;
         }
 
-        /** Its connection has ended: the rest is not sent. */
+        /** Cancels the rest of the transfer because its connection has ended. */
         void abandon() {
             abandoned = true;
         }
     }
 
-    /** Told of a transfer that has ended. */
+    /** Called when a transfer is complete. */
     @FunctionalInterface
     interface Completion {
-        /** The last byte left at this time. */
+        /** The last byte was sent at this time. */
         void completed(long atUs);
     }
 
     private static final double BYTES_PER_MB = 1e6;
-    private static final Comparator<Transfer> BY_REQUEST = Comparator.<Transfer>comparingLong(transfer -> transfer.atUs)
+    private static final Comparator<Transfer> BY_REQUEST_TIME = Comparator.<Transfer>comparingLong(
+                    transfer -> transfer.requestedAtUs)
             .thenComparingInt(transfer -> transfer.courier);
-    private static final Comparator<Transfer> BY_END = Comparator.<Transfer>comparingDouble(
-                    transfer -> transfer.endsAtShare)
-            .thenComparing(BY_REQUEST);
+    private static final Comparator<Transfer> BY_COMPLETION = Comparator.<Transfer>comparingDouble(
+                    transfer -> transfer.endShareBytes)
+            .thenComparing(BY_REQUEST_TIME);
 
-    private final List<Line> lines = new ArrayList<>();
+    private final List<Link> links = new ArrayList<>();
 
-    /** So many machines, each with a line of this rate; time begins at {@code startUs}. */
+    /** Creates the links of this number of machines, each with this bandwidth; time begins at {@code startUs}. */
     ControlUplink(final int machines, final double megabytesPerSecond, final long startUs) {
         for (int machine = 0; machine < machines; machine++) {
-            lines.add(new Line(megabytesPerSecond * BYTES_PER_MB / Units.US_PER_SECOND, startUs));
+            links.add(new Link(megabytesPerSecond * BYTES_PER_MB / Units.US_PER_SECOND, startUs));
         }
     }
 
-    /** Begins the transfers that were requested in a slice, and lets time pass to the slice's end. */
+    /** Begins the transfers that were requested in a time slice, and simulates the links to the end of the slice. */
     void runUntil(final long untilUs, final List<Transfer> requested) {
-        lines.forEach(Line::dropAbandoned);
+        links.forEach(Link::removeAbandoned);
         requested.stream()
-                .sorted(BY_REQUEST)
-                .forEach(transfer -> lineOf(transfer).begin(transfer));
-        lines.forEach(line -> line.advance(untilUs));
+                .sorted(BY_REQUEST_TIME)
+                .forEach(transfer -> linkOf(transfer).begin(transfer));
+        links.forEach(link -> link.advance(untilUs));
     }
 
-    private Line lineOf(final Transfer transfer) {
-        return lines.get(transfer.region % lines.size());
+    private Link linkOf(final Transfer transfer) {
+        return links.get(transfer.region % links.size());
     }
 
-    /** Bytes sent so far, over all lines. */
+    /** Bytes sent so far over all links. */
     double bytesSent() {
-        return lines.stream().mapToDouble(line -> line.bytesSent).sum();
+        return links.stream().mapToDouble(link -> link.bytesSent).sum();
     }
 
-    /** Time for which the busiest line had something to send, us. */
-    double busiestUs() {
-        return lines.stream().mapToDouble(line -> line.busyUs).max().orElse(0);
+    /** Time for which the busiest link had something to send, in microseconds. */
+    double longestBusyUs() {
+        return links.stream().mapToDouble(link -> link.busyUs).max().orElse(0);
     }
 
-    /** The line of one machine, shared evenly by what it sends. */
-    private static final class Line {
+    /** The network link of one machine, which its transfers share evenly. */
+    private static final class Link {
         private final double bytesPerUs;
-        private final PriorityQueue<Transfer> transfers = new PriorityQueue<>(BY_END);
+        private final PriorityQueue<Transfer> transfers = new PriorityQueue<>(BY_COMPLETION);
         private double nowUs;
-        /** Bytes that a transfer has got which has been here from the start. */
-        private double share;
+        /** Bytes that a transfer which has been active since the start would have received. */
+        private double shareBytes;
 
         private double bytesSent, busyUs;
 
-        private Line(final double bytesPerUs, final long startUs) {
+        private Link(final double bytesPerUs, final long startUs) {
             this.bytesPerUs = bytesPerUs;
             this.nowUs = startUs;
         }
 
-        private void dropAbandoned() {
+        private void removeAbandoned() {
             transfers.removeIf(transfer -> transfer.abandoned);
         }
 
         private void begin(final Transfer transfer) {
-            advance(transfer.atUs);
-            transfer.endsAtShare = share + transfer.bytes;
+            advance(transfer.requestedAtUs);
+            transfer.endShareBytes = shareBytes + transfer.bytes;
             transfers.add(transfer);
         }
 
         private void advance(final double untilUs) {
             while (!transfers.isEmpty()) {
-                final double leftBytes = transfers.peek().endsAtShare - share;
-                final double endUs = nowUs + leftBytes * transfers.size() / bytesPerUs;
+                final double remainingBytes = transfers.peek().endShareBytes - shareBytes;
+                final double endUs = nowUs + remainingBytes * transfers.size() / bytesPerUs;
                 if (endUs > untilUs) {
                     break;
                 }
-                pass(endUs);
+                sendUntil(endUs);
                 final Transfer ended = transfers.poll();
-                share = ended.endsAtShare;
+                shareBytes = ended.endShareBytes;
                 if (!ended.abandoned) {
                     ended.completion.completed((long) Math.ceil(endUs));
                 }
             }
-            pass(Math.max(nowUs, untilUs));
+            sendUntil(Math.max(nowUs, untilUs));
         }
 
-        private void pass(final double toUs) {
+        private void sendUntil(final double toUs) {
             if (!transfers.isEmpty()) {
                 final double bytes = (toUs - nowUs) * bytesPerUs;
-                share += bytes / transfers.size();
+                shareBytes += bytes / transfers.size();
                 bytesSent += bytes;
                 busyUs += toUs - nowUs;
             }
--- a/src/main/java/railspar/scale/fleet/CourierFigures.java
+++ b/src/main/java/railspar/scale/fleet/CourierFigures.java
@@ -3,34 +3,39 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What is counted and measured of one courier. */
+/** Counters and measurements of one courier. */
 final class CourierFigures {
     final MessageCounts messages = new MessageCounts();
     final ListWatch.Fetches fetches = new ListWatch.Fetches();
     final ProcessorTime processor = new ProcessorTime();
     final ControlTraffic traffic;
-    /** From each change, this process's start or the end of a cut, whichever was last, until it was in force here. */
+    /**
+     * Time until each change was in force at this courier, from the change, the start of the process or the end of a
+     * network partition, whichever came last.
+     */
     final List<Long> inForceUs = new ArrayList<>();
-    /** From a process's start until it was ready. */
-    final List<Long> firstReadyUs = new ArrayList<>();
+    /** Time from the start of a process until it was ready. */
+    final List<Long> firstStartReadyUs = new ArrayList<>();
 
     final List<Long> restartReadyUs = new ArrayList<>();
 
-    /** Lanes that the steps of earlier processes visited. */
-    long lanesVisited;
+    /** Routes that the decisions of earlier processes visited. */
+    long routesVisited;
 
     CourierFigures(final long startUs, final long endUs) {
         this.traffic = new ControlTraffic(startUs, endUs);
     }
 
-    void readyUs(final boolean first, final long tookUs) {
-        (first ? firstReadyUs : restartReadyUs).add(tookUs);
+    void recordReady(final boolean first, final long durationUs) {
+        (first ? firstStartReadyUs : restartReadyUs).add(durationUs);
     }
 
     /**
-     * A change is known to discovery from the begin of its slice on, so that it may come into force just before it.
+     * Records that changes are in force. Discovery has a change from the beginning of its time slice, so the change may
+     * come into force just before the time at which it was made; this counts as 0.
      */
-    void inForce(final Iterable<Long> madeAtUs, final long reachableUs, final long nowUs) {
-        madeAtUs.forEach(madeUs -> inForceUs.add(Math.max(0, nowUs - Math.max(madeUs, reachableUs))));
+    void recordInForce(final Iterable<Long> versionTimesUs, final long reachableUs, final long nowUs) {
+        versionTimesUs.forEach(
+                versionTimeUs -> inForceUs.add(Math.max(0, nowUs - Math.max(versionTimeUs, reachableUs))));
     }
 }
--- a/src/main/java/railspar/scale/fleet/CourierList.java
+++ b/src/main/java/railspar/scale/fleet/CourierList.java
@@ -14,20 +14,20 @@
 import railspar.list.TableUpdate;
 
 /**
- * The list of endpoints of one courier process: the real table, kept up to date by the real parser from a watch's
- * bytes, and its copy in a folder that outlasts the process.
+ * The endpoint list of one courier process: the production table, which the production parser updates from the bytes
+ * of a watch, and its copy in a folder that outlives the process.
  */
 final class CourierList implements Courier.Directory {
-    /** Heap for what has been read of a list that is not whole yet. */
-    private static final long STAGING_BYTES = 64L << 20;
+    /** Maximum heap for the received part of a list that is not complete yet. */
+    private static final long MAX_STAGING_BYTES = 64L << 20;
 
-    /** Room for the copy on disk. */
-    private static final long STORE_BYTES = 64L << 20;
+    /** Maximum size of the copy on disk. */
+    private static final long MAX_STORE_BYTES = 64L << 20;
 
     private static final long FINGERPRINT = 1;
 
     private final EndpointTable table;
-    /** Null for a courier that keeps no copy. */
+    /** The copy on disk, or null for a courier that keeps none. */
     private final ListStore store;
 
     private CourierList(final EndpointTable table, final ListStore store) {
@@ -35,16 +35,16 @@
         this.store = store;
     }
 
-    /** A list of which nothing outlasts the process. */
+    /** Creates a list without a copy on disk. */
     static CourierList unstored() {
         return new CourierList(new EndpointTable(), null);
     }
 
-    /** The list as the copy in that folder has it; empty where there is none. */
+    /** Loads the list from the copy in the folder; it is empty if there is no copy. */
     static CourierList stored(final Path folder) {
-        final ListStore store = new ListStore(folder, FINGERPRINT, STORE_BYTES, message -> {});
-        final EndpointTable found = store.load(0);
-        final CourierList list = new CourierList(found == null ? new EndpointTable() : found, store);
+        final ListStore store = new ListStore(folder, FINGERPRINT, MAX_STORE_BYTES, message -> {});
+        final EndpointTable stored = store.load(0);
+        final CourierList list = new CourierList(stored == null ? new EndpointTable() : stored, store);
         store.takeOwnership(list.table);
         list.writeStore();
         return list;
@@ -56,8 +56,8 @@
         }
     }
 
-    /** Bytes of the copies in a folder. */
-    static long bytesIn(final Path folder) throws IOException {
+    /** Total size of the copies in a folder. */
+    static long storedBytesIn(final Path folder) throws IOException {
         long bytes = 0;
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
             for (final Path file : files) {
@@ -76,25 +76,25 @@
         }
     }
 
-    /** Takes one line of the watch; the result is what it changed, those that are gone among it. */
-    List<Courier.Endpoint> feed(final byte[] line) throws IOException {
+    /** Applies one line of the watch; returns the changed endpoints, including those that were removed. */
+    List<Courier.Endpoint> apply(final byte[] line) throws IOException {
         final Changes changes = new Changes();
-        new ListParser(STAGING_BYTES, changes).feed(line, 0, line.length);
-        return changes.entries;
+        new ListParser(MAX_STAGING_BYTES, changes).feed(line, 0, line.length);
+        return changes.changed;
     }
 
-    /** The version in force; 0 before any list. */
+    /** The version in force; 0 before the first list. */
     long version() {
         return table.version();
     }
 
-    /** Endpoints in the list. */
+    /** Number of endpoints in the list. */
     int size() {
         return table.size();
     }
 
-    /** Heap that the list takes. */
-    long bytes() {
+    /** Heap used by the list. */
+    long heapBytes() {
         return table.bytes();
     }
 
@@ -107,22 +107,22 @@
 
     @Override
     public Courier.Endpoint endpoint(final long id) {
-        return table.isListed(id) ? entry(id, table.conditionOf(id)) : null;
+        return table.isListed(id) ? toEndpoint(id, table.conditionOf(id)) : null;
     }
 
-    private Courier.Endpoint entry(final long id, final Courier.Condition condition) {
+    private Courier.Endpoint toEndpoint(final long id, final Courier.Condition condition) {
         return new Courier.Endpoint(
                 id,
                 condition,
                 table.zoneOf(id),
                 table.weightOf(id),
-                CourierSettings.KIND_INDEX,
+                CourierSettings.ENDPOINT_KIND_INDEX,
                 table.destinationOf(id));
     }
 
-    /** Applies what the parser reads, and collects what that changes. */
+    /** Applies the lists and changes that the parser reads, and collects the changed endpoints. */
     private final class Changes implements ListParser.Listener, TableUpdate.Listener {
-        private final List<Courier.Endpoint> entries = new ArrayList<>();
+        private final List<Courier.Endpoint> changed = new ArrayList<>();
 
         @Override
         public void onList(final StagedList list) throws IOException {
@@ -144,7 +144,7 @@
                 store.put(table, endpoint);
             }
             if (change == TableUpdate.Change.ADDED || change == TableUpdate.Change.CHANGED) {
-                entries.add(endpoint(endpoint));
+                changed.add(endpoint(endpoint));
             }
         }
 
@@ -153,12 +153,12 @@
             if (store != null) {
                 store.remove(table, endpoint);
             }
-            entries.add(entry(endpoint, Courier.Condition.GONE));
+            changed.add(toEndpoint(endpoint, Courier.Condition.GONE));
         }
 
         @Override
         public void onUnusableEntry(final String problem) {
-            throw new IllegalStateException("an entry of the emulator's own list cannot be used: " + problem);
+            throw new IllegalStateException("the simulation generated an unusable list entry: " + problem);
         }
     }
 }
--- a/src/main/java/railspar/scale/fleet/CourierStepper.java
+++ b/src/main/java/railspar/scale/fleet/CourierStepper.java
@@ -8,19 +8,19 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 
-/** Steps couriers through a slice of time on several threads; within a slice they do not meet. */
+/** Steps couriers through a time slice on several threads; couriers do not interact within a slice. */
 final class CourierStepper implements AutoCloseable {
-    private final List<HollowCourier> couriers;
+    private final List<SimulatedCourier> couriers;
     private final int threads;
     private final ExecutorService executor;
 
-    CourierStepper(final List<HollowCourier> couriers, final int threads) {
+    CourierStepper(final List<SimulatedCourier> couriers, final int threads) {
         this.couriers = couriers;
         this.threads = threads;
         this.executor = Executors.newFixedThreadPool(threads);
     }
 
-    /** Lets time pass for all of them until then. */
+    /** Simulates all couriers until this time. */
     void runUntil(final long untilUs) throws InterruptedException {
         final List<Callable<Void>> stripes = new ArrayList<>();
         for (int stripe = 0; stripe < threads; stripe++) {
@@ -41,7 +41,7 @@
         try {
             stripe.get();
         } catch (final ExecutionException e) {
-            throw new IllegalStateException("a courier failed: " + e.getCause(), e.getCause());
+            throw new IllegalStateException("the simulation of a courier failed: " + e.getCause(), e.getCause());
         }
     }
 
--- a/src/main/java/railspar/scale/fleet/Destinations.java
+++ b/src/main/java/railspar/scale/fleet/Destinations.java
@@ -6,198 +6,209 @@
 import railspar.Courier;
 
 /**
- * All destinations: each bears so many calls a second, is down for a while now and then, and comes back cold. What it
- * bears does not depend on who calls.
+ * The model of all destinations. Each accepts a limited number of calls per second, over all couriers, and goes down
+ * from time to time. After it comes back it is cold: it starts with a share of its capacity and warms up to all of it.
  */
 final class Destinations {
-    /** An answer: what it says and how long it takes. */
+    /** The result of a call and the time until the courier gets it. */
     record Answer(Courier.Result result, long delayUs) {}
 
-    /** Least time until an answer; couriers are stepped in slices no longer than this. */
-    static final long LEAST_ANSWER_US = 10 * Units.US_PER_MS;
+    /** Minimum time until an answer; couriers are stepped in time slices no longer than this. */
+    static final long MIN_ANSWER_US = 10 * Units.US_PER_MS;
 
     private static final long MEAN_SERVICE_US = 80 * Units.US_PER_MS;
-    private static final long MOST_SERVICE_US = Units.us(4);
-    /** Calls that a destination takes at once, as a time at its rate; at least one call. */
+    private static final long MAX_SERVICE_US = Units.fromSeconds(4);
+    /** Size of the token bucket of a destination, as a time at its rate; it always has room for one call. */
     private static final double BURST_SECONDS = 1;
-    /** A cold destination is judged by the calls in spans of this length. */
-    private static final long COLD_SPAN_US = Units.us(2);
-    /** Calls in a span that chance may add to the share that tips it, in roots of that number. */
-    private static final double CHANCE_ROOTS = 2;
+    /** Overload of a cold destination is determined from the calls in intervals of this length. */
+    private static final long COLD_INTERVAL_US = Units.fromSeconds(2);
+    /**
+     * Tolerance for random variation of the calls in an interval above the overload limit, in square roots of that
+     * limit.
+     */
+    private static final double TOLERANCE_STANDARD_DEVIATIONS = 2;
+
+    /** Calls that are tolerated in addition. */
+    private static final double TOLERANCE_CALLS = 2;
 
-    private static final double CHANCE_CALLS = 2;
     private static final int PERCENT = 100;
-    private static final long MOST_PERCENT = 1_000_000;
+    private static final long MAX_LOAD_PERCENT = 1_000_000;
 
     private final FleetParameters parameters;
     private final EventQueue events;
     private final Random random;
-    private final double capacity;
+    private final double callsPerSecond;
     private final BitSet down;
-    private final double[] room;
-    private final long[] roomAtUs;
-    /** Since when each is up again; 0 if it never was down. */
+    private final double[] tokens;
+    private final long[] refilledAtUs;
+    /** When each destination last came up; 0 if it never was down. */
     private final long[] upSinceUs;
-    /** The span of a cold destination that is being counted, and its calls. */
-    private final int[] coldSpan;
+    /** The current interval of each destination, by number since it came up. */
+    private final int[] currentColdInterval;
 
-    private final int[] coldCalls;
+    /** Calls in the current interval of each destination. */
+    private final int[] callsInColdInterval;
 
-    /** Calls of cold spans as a percentage of the share that tips. */
-    private final Histogram coldLoad = new Histogram(MOST_PERCENT, 2);
+    /** Calls per cold interval, as a percentage of the overload limit. */
+    private final Histogram coldLoadPercent = new Histogram(MAX_LOAD_PERCENT, 2);
 
     private long lastCallUs;
-    private long calls, delivered, refused, callsWhileDown, callsCutOff, coldSpans, coldSpansOverTip;
-    /** Calls to cold destinations, by whether their message had been tried before. */
+    private long calls, delivered, rejected, callsWhileDown, callsCutOff, coldIntervals, overloadedColdIntervals;
+    /** Calls to cold destinations, separately for first and later attempts of a message. */
     private long coldFirstAttempts, coldLaterAttempts;
 
     Destinations(final FleetParameters parameters, final EventQueue events) {
         this.parameters = parameters;
         this.events = events;
         this.random = new Random(Seeds.of(parameters.plan().seed(), Seeds.DESTINATIONS, 0));
-        this.capacity = parameters.model().callsPerSecond();
+        this.callsPerSecond = parameters.model().callsPerSecond();
         final int count = parameters.plan().destinations();
         this.down = parameters.plan().downDestinations();
-        this.room = new double[count];
-        this.roomAtUs = new long[count];
+        this.tokens = new double[count];
+        this.refilledAtUs = new long[count];
         this.upSinceUs = new long[count];
-        this.coldSpan = new int[count];
-        this.coldCalls = new int[count];
+        this.currentColdInterval = new int[count];
+        this.callsInColdInterval = new int[count];
         for (int destination = 0; destination < count; destination++) {
-            room[destination] = burst(1);
-            scheduleTurn(destination);
+            tokens[destination] = burst(1);
+            scheduleToggle(destination);
         }
     }
 
-    /** What the list tells of a destination's limit, in calls a second. */
-    double listedLimit() {
-        return capacity;
+    /** The limit of a destination that the list advertises, in calls per second. */
+    double advertisedCallsPerSecond() {
+        return callsPerSecond;
     }
 
-    private void scheduleTurn(final int destination) {
+    private void scheduleToggle(final int destination) {
         final double share = parameters.plan().downShare();
         if (share <= 0 || share >= 1) {
             return;
         }
         final double downSeconds = parameters.model().downSeconds();
         final double mean = down.get(destination) ? downSeconds : downSeconds * (1 - share) / share;
-        events.after(Units.us(exponential(mean)), () -> turn(destination));
+        events.after(Units.fromSeconds(exponential(mean)), () -> toggle(destination));
     }
 
     private double exponential(final double mean) {
         return -mean * Math.log(1 - random.nextDouble());
     }
 
-    private void turn(final int destination) {
-        closeColdSpan(destination);
+    private void toggle(final int destination) {
+        finishColdInterval(destination);
         down.flip(destination);
         if (!down.get(destination)) {
             upSinceUs[destination] = events.nowUs();
-            room[destination] = 0;
-            roomAtUs[destination] = events.nowUs();
-            coldSpan[destination] = 0;
-            coldCalls[destination] = 0;
+            tokens[destination] = 0;
+            refilledAtUs[destination] = events.nowUs();
+            currentColdInterval[destination] = 0;
+            callsInColdInterval[destination] = 0;
         }
-        scheduleTurn(destination);
+        scheduleToggle(destination);
     }
 
-    /** Answers a call; calls are given in the order of their times. */
+    /** Answers a call; calls must be passed in the order of their times. */
     Answer answer(final AttemptCall call) {
-        if (call.atUs() < lastCallUs) {
-            throw new IllegalStateException("a call of " + call.atUs() + " us after one of " + lastCallUs + " us");
+        if (call.sentUs() < lastCallUs) {
+            throw new IllegalStateException("calls must be in the order of their times, but one sent at "
+                    + call.sentUs() + " us follows one sent at " + lastCallUs + " us");
         }
-        lastCallUs = call.atUs();
+        lastCallUs = call.sentUs();
         final int destination = (int) call.destination();
         calls++;
         if (down.get(destination)) {
             callsWhileDown++;
-            return whileDown(destination, call);
+            return answerWhileDown(destination, call);
         }
-        countCold(destination, call);
-        final double warmth = warmth(destination, call.atUs());
-        refill(destination, call.atUs(), warmth);
-        if (room[destination] < 1) {
-            refused++;
-            return new Answer(Courier.Result.REFUSED, LEAST_ANSWER_US);
+        countColdCall(destination, call);
+        final double capacityShare = capacityShare(destination, call.sentUs());
+        refill(destination, call.sentUs(), capacityShare);
+        if (tokens[destination] < 1) {
+            rejected++;
+            return new Answer(Courier.Result.REFUSED, MIN_ANSWER_US);
         }
-        room[destination]--;
+        tokens[destination]--;
         delivered++;
         final long serviceUs = (long) exponential(MEAN_SERVICE_US);
-        return new Answer(Courier.Result.DELIVERED, LEAST_ANSWER_US + Math.min(MOST_SERVICE_US, serviceUs));
+        return new Answer(Courier.Result.DELIVERED, MIN_ANSWER_US + Math.min(MAX_SERVICE_US, serviceUs));
     }
 
-    /** A call over a cut network: its connection never comes up, until the courier stops waiting. */
+    /** Answers a call across a network partition: no connection is established before the timeout of the courier. */
     Answer unreachable(final AttemptCall call) {
         calls++;
         callsCutOff++;
-        return new Answer(Courier.Result.NO_CONNECTION, Math.max(LEAST_ANSWER_US, call.timeoutUs() - 1));
+        return new Answer(Courier.Result.NO_CONNECTION, Math.max(MIN_ANSWER_US, call.timeoutUs() - 1));
     }
 
-    /** One half of those that are down refuse connections, the others take a call and never answer. */
-    private static Answer whileDown(final int destination, final AttemptCall call) {
+    /** Half of the destinations that are down refuse connections; the others accept a call and never answer. */
+    private static Answer answerWhileDown(final int destination, final AttemptCall call) {
         return destination % 2 == 0
-                ? new Answer(Courier.Result.NO_CONNECTION, LEAST_ANSWER_US)
-                : new Answer(Courier.Result.TIMED_OUT, Math.max(LEAST_ANSWER_US, call.timeoutUs()));
+                ? new Answer(Courier.Result.NO_CONNECTION, MIN_ANSWER_US)
+                : new Answer(Courier.Result.TIMED_OUT, Math.max(MIN_ANSWER_US, call.timeoutUs()));
     }
 
-    private double burst(final double warmth) {
-        return Math.max(1, BURST_SECONDS * capacity * warmth);
+    private double burst(final double capacityShare) {
+        return Math.max(1, BURST_SECONDS * callsPerSecond * capacityShare);
     }
 
-    private void refill(final int destination, final long atUs, final double warmth) {
-        final double seconds = (double) (atUs - roomAtUs[destination]) / Units.US_PER_SECOND;
-        room[destination] = Math.min(burst(warmth), room[destination] + capacity * warmth * seconds);
-        roomAtUs[destination] = atUs;
+    private void refill(final int destination, final long atUs, final double capacityShare) {
+        final double seconds = (double) (atUs - refilledAtUs[destination]) / Units.US_PER_SECOND;
+        tokens[destination] =
+                Math.min(burst(capacityShare), tokens[destination] + callsPerSecond * capacityShare * seconds);
+        refilledAtUs[destination] = atUs;
     }
 
-    private double warmth(final int destination, final long atUs) {
+    private double capacityShare(final int destination, final long atUs) {
         final SurroundingsModel model = parameters.model();
         if (upSinceUs[destination] == 0) {
             return 1;
         }
-        final double warm = (atUs - upSinceUs[destination]) / (model.coldSeconds() * Units.US_PER_SECOND);
-        return Math.min(1, model.coldFrom() + (1 - model.coldFrom()) * warm);
+        final double elapsedShare = (atUs - upSinceUs[destination]) / (model.coldSeconds() * Units.US_PER_SECOND);
+        return Math.min(1, model.coldFrom() + (1 - model.coldFrom()) * elapsedShare);
     }
 
-    // ---------------------------------------------------------------- what cold ones are sent
+    // ---------------------------------------------------------------- calls to cold destinations
 
-    private void countCold(final int destination, final AttemptCall call) {
+    private void countColdCall(final int destination, final AttemptCall call) {
         if (upSinceUs[destination] == 0) {
             return;
         }
-        if (warmth(destination, call.atUs()) < 1) {
+        if (capacityShare(destination, call.sentUs()) < 1) {
             coldFirstAttempts += call.attempt() == 1 ? 1 : 0;
             coldLaterAttempts += call.attempt() == 1 ? 0 : 1;
         }
-        final int span = (int) ((call.atUs() - upSinceUs[destination]) / COLD_SPAN_US);
-        if (span != coldSpan[destination]) {
-            closeColdSpan(destination);
-            coldSpan[destination] = span;
+        final int interval = (int) ((call.sentUs() - upSinceUs[destination]) / COLD_INTERVAL_US);
+        if (interval != currentColdInterval[destination]) {
+            finishColdInterval(destination);
+            currentColdInterval[destination] = interval;
         }
-        coldCalls[destination]++;
-    }
-
-    /** Judges the span that was counted; one that began when the destination was warm does not count. */
-    private void closeColdSpan(final int destination) {
-        final long fromUs = upSinceUs[destination] + coldSpan[destination] * COLD_SPAN_US;
-        final double warmth = warmth(destination, fromUs);
-        if (upSinceUs[destination] != 0 && coldCalls[destination] > 0 && warmth < 1) {
-            final double spanSeconds = (double) COLD_SPAN_US / Units.US_PER_SECOND;
-            final double bears = parameters.model().tipMultiple() * capacity * warmth * spanSeconds;
-            final int made = coldCalls[destination];
-            coldSpans++;
-            coldLoad.recordValue(Math.min(MOST_PERCENT, Math.round(PERCENT * made / bears)));
-            if (made > bears + CHANCE_ROOTS * Math.sqrt(bears) + CHANCE_CALLS) {
-                coldSpansOverTip++;
+        callsInColdInterval[destination]++;
+    }
+
+    /** Evaluates the current interval, unless the destination was warm when it began, and resets its calls. */
+    private void finishColdInterval(final int destination) {
+        final long intervalStartUs = upSinceUs[destination] + currentColdInterval[destination] * COLD_INTERVAL_US;
+        final double capacityShare = capacityShare(destination, intervalStartUs);
+        if (upSinceUs[destination] != 0 && callsInColdInterval[destination] > 0 && capacityShare < 1) {
+            final double intervalSeconds = (double) COLD_INTERVAL_US / Units.US_PER_SECOND;
+            final double overloadLimit =
+                    parameters.model().tipMultiple() * callsPerSecond * capacityShare * intervalSeconds;
+            final int intervalCalls = callsInColdInterval[destination];
+            coldIntervals++;
+            coldLoadPercent.recordValue(
+                    Math.min(MAX_LOAD_PERCENT, Math.round(PERCENT * intervalCalls / overloadLimit)));
+            if (intervalCalls
+                    > overloadLimit + TOLERANCE_STANDARD_DEVIATIONS * Math.sqrt(overloadLimit) + TOLERANCE_CALLS) {
+                overloadedColdIntervals++;
             }
         }
-        coldCalls[destination] = 0;
+        callsInColdInterval[destination] = 0;
     }
 
-    /** Judges what is still being counted. */
-    void close() {
-        for (int destination = 0; destination < coldCalls.length; destination++) {
-            closeColdSpan(destination);
+    /** Evaluates the intervals that are still open. */
+    void finish() {
+        for (int destination = 0; destination < callsInColdInterval.length; destination++) {
+            finishColdInterval(destination);
         }
     }
 
@@ -209,8 +220,8 @@
         return delivered;
     }
 
-    long refused() {
-        return refused;
+    long rejected() {
+        return rejected;
     }
 
     long callsWhileDown() {
@@ -221,8 +232,8 @@
         return callsCutOff;
     }
 
-    long coldSpans() {
-        return coldSpans;
+    long coldIntervals() {
+        return coldIntervals;
     }
 
     long coldFirstAttempts() {
@@ -233,11 +244,11 @@
         return coldLaterAttempts;
     }
 
-    long coldSpansOverTip() {
-        return coldSpansOverTip;
+    long overloadedColdIntervals() {
+        return overloadedColdIntervals;
     }
 
-    Histogram coldLoad() {
-        return coldLoad;
+    Histogram coldLoadPercent() {
+        return coldLoadPercent;
     }
 }
--- a/src/main/java/railspar/scale/fleet/Discovery.java
+++ b/src/main/java/railspar/scale/fleet/Discovery.java
@@ -8,15 +8,15 @@
 import railspar.scale.standin.ListHistory;
 
 /**
- * Discovery: the list, when each of its versions was made, and whether it speaks. It changes between two slices only,
- * so that couriers may read it while they are stepped.
+ * The model of discovery: the endpoint list, the time of each version, and whether discovery is silent. It changes
+ * only between two time slices, so couriers can read it while they are stepped on several threads.
  */
 final class Discovery {
     private final ListHistory history;
     private final List<EndpointEntry> entries;
     private final Random random;
-    /** When each version after the first was made. */
-    private final TreeMap<Long, Long> madeAtUs = new TreeMap<>();
+    /** The time at which each version after the first was made. */
+    private final TreeMap<Long, Long> versionTimesUs = new TreeMap<>();
 
     private boolean silent;
 
@@ -26,8 +26,8 @@
         this.random = new Random(Seeds.of(seed, Seeds.SCENARIO, 0));
     }
 
-    /** Changes the weight or the health of one endpoint drawn at random. */
-    void changeOne(final long nowUs) {
+    /** Toggles the health of a randomly chosen endpoint. */
+    void changeRandomEndpoint(final long nowUs) {
         final int index = random.nextInt(entries.size());
         final EndpointEntry old = entries.get(index);
         final EndpointEntry.Health health = old.health() == EndpointEntry.Health.READY
@@ -35,14 +35,14 @@
                 : EndpointEntry.Health.READY;
         final EndpointEntry changed = old.withHealth(health);
         entries.set(index, changed);
-        madeAtUs.put(history.change(List.of(changed)), nowUs);
+        versionTimesUs.put(history.change(List.of(changed)), nowUs);
     }
 
-    void silence(final boolean now) {
-        silent = now;
+    void setSilent(final boolean newSilent) {
+        silent = newSilent;
     }
 
-    boolean silent() {
+    boolean isSilent() {
         return silent;
     }
 
@@ -58,12 +58,12 @@
         return history.isWholeAfter(version);
     }
 
-    /** The times at which the versions after one, up to another, were made. */
-    Iterable<Long> madeBetween(final long after, final long upTo) {
-        return madeAtUs.subMap(after, false, upTo, true).values();
+    /** The times at which the versions after {@code after}, up to and including {@code upTo}, were made. */
+    Iterable<Long> versionTimesBetween(final long after, final long upTo) {
+        return versionTimesUs.subMap(after, false, upTo, true).values();
     }
 
-    int changes() {
-        return madeAtUs.size();
+    int changeCount() {
+        return versionTimesUs.size();
     }
 }
--- a/src/main/java/railspar/scale/fleet/Disturbances.java
+++ b/src/main/java/railspar/scale/fleet/Disturbances.java
@@ -1,15 +1,15 @@
 package railspar.scale.fleet;
 
 /**
- * What goes wrong during a run, besides destinations that are down.
+ * The faults that are injected during a run, besides destinations that are down.
  *
- * @param restarts couriers killed and started again during the run, one after another
- * @param outageSeconds how long discovery is silent, once
- * @param silentWatches share of the couriers whose watch falls silent, at one moment
- * @param cutZone the zone whose couriers are cut off at one moment, or {@link #NONE}
- * @param cutMode what happens to them
- * @param cutRegion the region that is cut off from the others and from control, or {@link #NONE}
- * @param regionCutSeconds for how long
+ * @param restarts number of restarts, each of a random courier, distributed over the run
+ * @param outageSeconds duration of the one outage of discovery, during which it is silent
+ * @param silentWatches share of the couriers whose watches fall silent, all at the same time
+ * @param cutZone the zone whose couriers are cut off, all at the same time, or {@link #NONE}
+ * @param cutMode what happens to the couriers of that zone
+ * @param cutRegion the region that is partitioned from the others and from the control machines, or {@link #NONE}
+ * @param regionCutSeconds duration of that partition
  */
 public record Disturbances(
         int restarts,
@@ -19,30 +19,32 @@
         CutMode cutMode,
         int cutRegion,
         double regionCutSeconds) {
-    /** No zone, or no region. */
+    /** No zone or no region. */
     public static final int NONE = -1;
 
     /** What happens to the couriers of the zone that is cut off. */
     public enum CutMode {
-        /** Their processes are killed and started again. */
+        /** Their processes are killed and restarted. */
         RESTART,
-        /** Their watches break and are begun again. */
+        /** Their watches are disconnected and reconnect. */
         RECONNECT,
-        /** Their processes are killed and started again on empty folders; what they held is handed to others. */
+        /** Their processes are killed and restarted with empty folders; their open messages go to other couriers. */
         REPLACE
     }
 
-    /** Refuses figures that contradict themselves. */
+    /** Rejects invalid values. */
     public Disturbances {
-        require(restarts >= 0, "restarts are not negative: " + restarts);
-        require(outageSeconds >= 0, "an outage is not negative: " + outageSeconds);
-        require(silentWatches >= 0 && silentWatches <= 1, "a share lies between 0 and 1, not " + silentWatches);
-        require(regionCutSeconds >= 0, "a region is not cut off for " + regionCutSeconds + " s");
+        require(restarts >= 0, "the number of restarts must not be negative, but is " + restarts);
+        require(outageSeconds >= 0, "the discovery outage must not be negative, but is " + outageSeconds + " s");
+        require(
+                silentWatches >= 0 && silentWatches <= 1,
+                "the share of silent watches must lie between 0 and 1, not " + silentWatches);
+        require(regionCutSeconds >= 0, "the region cut must not be negative, but is " + regionCutSeconds + " s");
     }
 
-    static void require(final boolean kept, final String problem) {
-        if (!kept) {
-            throw new IllegalArgumentException(problem);
+    static void require(final boolean condition, final String message) {
+        if (!condition) {
+            throw new IllegalArgumentException(message);
         }
     }
 }
--- a/src/main/java/railspar/scale/fleet/FleetFigures.java
+++ b/src/main/java/railspar/scale/fleet/FleetFigures.java
@@ -7,62 +7,64 @@
 import java.util.function.ToLongFunction;
 import org.HdrHistogram.Histogram;
 
-/** What a run showed, over all couriers. */
+/** The results of a run, over all couriers. */
 public final class FleetFigures {
-    /** Where a figure comes from. */
+    /** How a figure was obtained. */
     public enum Basis {
-        /** From the simulated clock, with the assumed figures of the surroundings. */
+        /** From the simulated clock, under the assumptions of the surroundings model. */
         SIMULATED,
-        /** Counted; the same on every machine. */
+        /** Counted in the simulation; the same on every machine. */
         COUNTED,
-        /** Measured on the machine of the run. */
+        /** Measured on the machine that ran the simulation. */
         MEASURED
     }
 
     /**
-     * One figure.
+     * One result.
      *
-     * @param most the bound that it has to keep, or null
+     * @param most the upper bound of the value, or null
      */
     public record Figure(String name, double value, String unit, Basis basis, Double most) {
-        /** True if it keeps its bound, or has none. */
+        /** True if the value is within its bound or has none. */
         @JsonProperty("met")
         public boolean met() {
             return most == null || value <= most;
         }
     }
 
-    /** A sum that has to come out even. */
+    /** A consistency check: two counts that must be equal. */
     public record Check(String name, long expected, long found) {
-        /** True if it does. */
+        /** True if the counts are equal. */
         @JsonProperty("holds")
         public boolean holds() {
             return expected == found;
         }
     }
 
-    /** Bounds of the target. */
-    public static final double IN_FORCE_SECONDS = 14;
+    /** Maximum time until a change of the list is in force, as specified. */
+    public static final double MAX_IN_FORCE_SECONDS = 14;
 
-    public static final double READY_SECONDS = 10;
-    public static final double CONTROL_CORE_PERCENT = 3.4;
+    /** Maximum time until a started courier is ready, as specified. */
+    public static final double MAX_READY_SECONDS = 10;
+    /** Maximum processor use of a courier for its list, in percent of a core, as specified. */
+    public static final double MAX_CONTROL_CORE_PERCENT = 3.4;
 
-    private static final double CONTROL_BYTES_A_SECOND = 6 * 1024;
-    private static final double ENDPOINT_BYTES = 80;
+    private static final double MAX_CONTROL_BYTES_PER_SECOND = 6 * 1024;
+    private static final double MAX_LIST_BYTES_PER_ENDPOINT = 80;
     private static final double SECONDS_PER_MINUTE = 60;
     private static final double NS_PER_SECOND = 1e9;
     private static final double NS_PER_MS = 1e6;
     private static final double BYTES_PER_MB = 1e6;
     private static final int PERCENT = 100;
-    private static final double MEDIAN = 50;
-    private static final double NINETY_NINTH = 99;
+    private static final double P50 = 50;
+    private static final double P99 = 99;
 
     private final List<Figure> figures = new ArrayList<>();
     private final List<Check> checks = new ArrayList<>();
-    private final List<HollowCourier> couriers;
+    private final List<SimulatedCourier> couriers;
     private final double seconds;
 
-    private FleetFigures(final List<HollowCourier> couriers, final double seconds) {
+    private FleetFigures(final List<SimulatedCourier> couriers, final double seconds) {
         this.couriers = couriers;
         this.seconds = seconds;
     }
@@ -73,7 +75,7 @@
             final Discovery discovery,
             final ControlUplink uplink,
             final Destinations destinations,
-            final List<HollowCourier> couriers) {
+            final List<SimulatedCourier> couriers) {
         final FleetFigures result = new FleetFigures(couriers, seconds);
         result.addChanges(discovery);
         result.addStarts();
@@ -87,208 +89,220 @@
         return result;
     }
 
-    /** The figures, in the order of the table. */
+    /** The figures, in the order of the result table. */
     public List<Figure> figures() {
         return List.copyOf(figures);
     }
 
-    /** The sums. */
+    /** The consistency checks. */
     public List<Check> checks() {
         return List.copyOf(checks);
     }
 
-    /** The figures that are the same on every machine and at every time. */
+    /** The figures that are the same in every run with the same parameters. */
     public List<Figure> repeatable() {
         return figures.stream()
                 .filter(figure -> figure.basis() != Basis.MEASURED)
                 .toList();
     }
 
-    /** True if all sums come out even. */
+    /** True if all consistency checks hold. */
     public boolean checksHold() {
         return checks.stream().allMatch(Check::holds);
     }
 
-    /** The value of a figure. */
+    /** The value of the figure with this name. */
     public double value(final String name) {
         return figures.stream()
                 .filter(figure -> figure.name().equals(name))
                 .findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("no such figure: " + name))
+                .orElseThrow(() -> new IllegalArgumentException("there is no figure with the name " + name))
                 .value();
     }
 
-    /** Adds a figure that the run itself does not know. */
-    public void add(final String name, final double value, final String unit, final Basis basis, final Double most) {
-        figures.add(new Figure(name, value, unit, basis, most));
+    /** Adds a figure that was obtained outside the simulation. */
+    public void add(final String name, final double value, final String unit, final Basis basis, final Double max) {
+        figures.add(new Figure(name, value, unit, basis, max));
     }
 
-    private void simulated(final String name, final double value, final String unit, final Double most) {
-        add(name, value, unit, Basis.SIMULATED, most);
+    private void addSimulated(final String name, final double value, final String unit, final Double max) {
+        add(name, value, unit, Basis.SIMULATED, max);
     }
 
-    private void counted(final String name, final double value) {
+    private void addCounted(final String name, final double value) {
         add(name, value, "", Basis.COUNTED, null);
     }
 
-    private long sum(final ToLongFunction<HollowCourier> of) {
-        return couriers.stream().mapToLong(of).sum();
+    private long sum(final ToLongFunction<SimulatedCourier> value) {
+        return couriers.stream().mapToLong(value).sum();
     }
 
-    private Histogram histogram(final Function<CourierFigures, List<Long>> of) {
+    private Histogram histogram(final Function<CourierFigures, List<Long>> samples) {
         final Histogram histogram = new Histogram(3);
-        couriers.forEach(courier -> of.apply(courier.figures()).forEach(histogram::recordValue));
+        couriers.forEach(courier -> samples.apply(courier.figures()).forEach(histogram::recordValue));
         return histogram;
     }
 
-    private void distribution(final String name, final Histogram us, final Double most) {
-        counted(name + ": samples", us.getTotalCount());
-        if (us.getTotalCount() > 0) {
-            simulated(name + ": p50", us.getValueAtPercentile(MEDIAN) / (double) Units.US_PER_SECOND, "s", most);
-            simulated(name + ": p99", us.getValueAtPercentile(NINETY_NINTH) / (double) Units.US_PER_SECOND, "s", most);
-            simulated(name + ": worst", us.getMaxValue() / (double) Units.US_PER_SECOND, "s", most);
+    private void addDistribution(final String name, final Histogram histogram, final Double max) {
+        addCounted(name + ": samples", histogram.getTotalCount());
+        if (histogram.getTotalCount() > 0) {
+            addSimulated(name + ": p50", histogram.getValueAtPercentile(P50) / (double) Units.US_PER_SECOND, "s", max);
+            addSimulated(name + ": p99", histogram.getValueAtPercentile(P99) / (double) Units.US_PER_SECOND, "s", max);
+            addSimulated(name + ": worst", histogram.getMaxValue() / (double) Units.US_PER_SECOND, "s", max);
         }
     }
 
     private void addChanges(final Discovery discovery) {
-        counted("changes made", discovery.changes());
-        distribution("change in force", histogram(one -> one.inForceUs), IN_FORCE_SECONDS);
-        counted(
+        addCounted("changes made", discovery.changeCount());
+        addDistribution("change in force", histogram(courier -> courier.inForceUs), MAX_IN_FORCE_SECONDS);
+        addCounted(
                 "couriers without the newest list at the end",
-                sum(one -> one.versionInForce() == discovery.version() ? 0 : 1));
+                sum(courier -> courier.versionInForce() == discovery.version() ? 0 : 1));
     }
 
     private void addStarts() {
-        distribution("ready after first start", histogram(one -> one.firstReadyUs), READY_SECONDS);
-        distribution("ready after restart", histogram(one -> one.restartReadyUs), READY_SECONDS);
+        addDistribution("ready after first start", histogram(courier -> courier.firstStartReadyUs), MAX_READY_SECONDS);
+        addDistribution("ready after restart", histogram(courier -> courier.restartReadyUs), MAX_READY_SECONDS);
     }
 
     private void addFetches() {
-        counted("whole lists at first start", sum(one -> one.figures().fetches.wholeAtFirstStart));
-        counted("whole lists at restart", sum(one -> one.figures().fetches.wholeAtRestart));
-        counted("whole lists fetched again by one process", sum(one -> one.figures().fetches.wholeLater));
-        counted("lines of changes", sum(one -> one.figures().fetches.changeLines));
-        counted("watches begun", sum(one -> one.figures().fetches.watches));
+        addCounted("whole lists at first start", sum(courier -> courier.figures().fetches.wholeListsAtFirstStart));
+        addCounted("whole lists at restart", sum(courier -> courier.figures().fetches.wholeListsAtRestart));
+        addCounted(
+                "whole lists fetched again by one process", sum(courier -> courier.figures().fetches.wholeListsLater));
+        addCounted("lines of changes", sum(courier -> courier.figures().fetches.changeLines));
+        addCounted("watches begun", sum(courier -> courier.figures().fetches.watches));
     }
 
     private void addTraffic() {
-        final double first = sum(one -> one.figures().traffic.firstLists());
-        final double later = sum(one -> one.figures().traffic.total()) - first;
-        final long worst = couriers.stream()
-                .mapToLong(one -> one.figures().traffic.worstMinute())
+        final double initialBytes = sum(courier -> courier.figures().traffic.initialListBytes());
+        final double laterBytes = sum(courier -> courier.figures().traffic.totalBytes()) - initialBytes;
+        final long peakMinuteBytes = couriers.stream()
+                .mapToLong(courier -> courier.figures().traffic.peakMinuteBytes())
                 .max()
                 .orElse(0);
-        add("control bytes, lists for empty folders, each courier", first / couriers.size(), "B", Basis.COUNTED, null);
+        add(
+                "control bytes, lists for empty folders, each courier",
+                initialBytes / couriers.size(),
+                "B",
+                Basis.COUNTED,
+                null);
         add(
                 "control bytes after it, each courier, mean",
-                later / couriers.size() / seconds,
+                laterBytes / couriers.size() / seconds,
                 "B/s",
                 Basis.COUNTED,
-                CONTROL_BYTES_A_SECOND);
+                MAX_CONTROL_BYTES_PER_SECOND);
         add(
                 "control bytes after it, worst minute of a courier",
-                worst / SECONDS_PER_MINUTE,
+                peakMinuteBytes / SECONDS_PER_MINUTE,
                 "B/s",
                 Basis.COUNTED,
-                CONTROL_BYTES_A_SECOND);
+                MAX_CONTROL_BYTES_PER_SECOND);
     }
 
     private void addUplink(final ControlUplink uplink) {
-        simulated("control lines, busiest one in use", uplink.busiestUs() / Units.US_PER_SECOND, "s", null);
+        addSimulated("control lines, busiest one in use", uplink.longestBusyUs() / Units.US_PER_SECOND, "s", null);
         add("control lines, bytes sent", uplink.bytesSent() / BYTES_PER_MB, "MB", Basis.COUNTED, null);
     }
 
     private void addProcessor() {
         final ProcessorTime total = new ProcessorTime();
-        couriers.forEach(one -> total.add(one.figures().processor));
+        couriers.forEach(courier -> total.add(courier.figures().processor));
         add(
                 "processor: open the stored list, all starts",
                 total.openListNs / NS_PER_SECOND / couriers.size(),
                 "s a courier",
                 Basis.MEASURED,
                 null);
-        measuredShare("processor: read and store lists", total.listNs, null);
-        measuredShare("processor: apply lists to the decisions", total.applyNs, null);
-        measuredShare("processor: read, store and apply lists", total.listNs + total.applyNs, CONTROL_CORE_PERCENT);
-        measuredShare("processor: decisions on events", total.eventDecisionsNs, null);
-        measuredShare("processor: decisions on wake-ups", total.wakeDecisionsNs, null);
-        add("processor: longest read of a list", total.listLongestNs / NS_PER_MS, "ms", Basis.MEASURED, null);
-        counted("decisions on events", total.eventDecisions);
-        counted("decisions on wake-ups", total.wakeDecisions);
+        addMeasuredShare("processor: read and store lists", total.listNs, null);
+        addMeasuredShare("processor: apply lists to the decisions", total.applyNs, null);
+        addMeasuredShare(
+                "processor: read, store and apply lists", total.listNs + total.applyNs, MAX_CONTROL_CORE_PERCENT);
+        addMeasuredShare("processor: decisions on events", total.eventDecisionsNs, null);
+        addMeasuredShare("processor: decisions on wake-ups", total.timerDecisionsNs, null);
+        add("processor: longest read of a list", total.longestListNs / NS_PER_MS, "ms", Basis.MEASURED, null);
+        addCounted("decisions on events", total.eventDecisions);
+        addCounted("decisions on wake-ups", total.timerDecisions);
     }
 
-    private void measuredShare(final String name, final long ns, final Double most) {
+    private void addMeasuredShare(final String name, final long ns, final Double max) {
         final double share = ns / NS_PER_SECOND / seconds / couriers.size();
-        add(name, PERCENT * share, "% of a core", Basis.MEASURED, most);
+        add(name, PERCENT * share, "% of a core", Basis.MEASURED, max);
     }
 
     private MessageCounts addMessages() {
         final MessageCounts total = new MessageCounts();
-        couriers.forEach(one -> total.add(one.figures().messages));
-        counted("messages taken", total.taken);
-        counted("messages delivered", total.delivered);
-        counted("messages refused", total.refused);
-        counted("messages refused at the end of their time", total.givenUp);
-        counted("messages failed", total.failed);
-        counted("messages lost with a folder", total.lostWithFolder);
-        counted("messages ended late", total.late);
-        counted("messages open at the end", sum(HollowCourier::openMessages));
-        counted("attempts", total.attempts);
+        couriers.forEach(courier -> total.add(courier.figures().messages));
+        addCounted("messages taken", total.accepted);
+        addCounted("messages delivered", total.delivered);
+        addCounted("messages refused", total.rejected);
+        addCounted("messages refused at the end of their time", total.expired);
+        addCounted("messages failed", total.failed);
+        addCounted("messages lost with a folder", total.lostWithStateFolder);
+        addCounted("messages ended late", total.late);
+        addCounted("messages open at the end", sum(SimulatedCourier::openMessages));
+        addCounted("attempts", total.attempts);
         addState();
         return total;
     }
 
     private void addState() {
-        final double listed = sum(HollowCourier::listed);
-        final double listBytes = sum(HollowCourier::listBytes);
-        counted("endpoints listed, each courier", listed / couriers.size());
+        final double listed = sum(SimulatedCourier::listedEndpoints);
+        final double listBytes = sum(SimulatedCourier::listBytes);
+        addCounted("endpoints listed, each courier", listed / couriers.size());
         add("list state, each courier", listBytes / couriers.size(), "B", Basis.COUNTED, null);
-        add("list state, each endpoint", listBytes / Math.max(1, listed), "B", Basis.COUNTED, ENDPOINT_BYTES);
+        add(
+                "list state, each endpoint",
+                listBytes / Math.max(1, listed),
+                "B",
+                Basis.COUNTED,
+                MAX_LIST_BYTES_PER_ENDPOINT);
         add(
                 "stored list, each courier",
-                (double) sum(HollowCourier::storedBytes) / couriers.size(),
+                (double) sum(SimulatedCourier::storedBytes) / couriers.size(),
                 "B on disk",
                 Basis.COUNTED,
                 null);
-        counted(
+        addCounted(
                 "destinations that a courier had a message for",
-                (double) sum(HollowCourier::destinationsContacted) / couriers.size());
-        counted(
+                (double) sum(SimulatedCourier::usedDestinations) / couriers.size());
+        addCounted(
                 "destinations with state, each courier",
-                (double) sum(HollowCourier::destinationsWithState) / couriers.size());
-        counted(
+                (double) sum(SimulatedCourier::destinationsWithState) / couriers.size());
+        addCounted(
                 "lanes visited by steps, each courier and second",
-                sum(HollowCourier::lanesVisited) / seconds / couriers.size());
+                sum(SimulatedCourier::routesVisited) / seconds / couriers.size());
     }
 
     private void addDestinations(final Destinations destinations) {
-        counted("calls", destinations.calls());
-        counted("calls to destinations that were down", destinations.callsWhileDown());
-        counted("calls over a cut network", destinations.callsCutOff());
-        counted("calls refused above the limit", destinations.refused());
-        counted("calls to cold destinations, first attempts", destinations.coldFirstAttempts());
-        counted("calls to cold destinations, later attempts", destinations.coldLaterAttempts());
-        counted("cold spans with calls", destinations.coldSpans());
-        counted("cold spans above what tips and chance", destinations.coldSpansOverTip());
-        final Histogram load = destinations.coldLoad();
+        addCounted("calls", destinations.calls());
+        addCounted("calls to destinations that were down", destinations.callsWhileDown());
+        addCounted("calls over a cut network", destinations.callsCutOff());
+        addCounted("calls refused above the limit", destinations.rejected());
+        addCounted("calls to cold destinations, first attempts", destinations.coldFirstAttempts());
+        addCounted("calls to cold destinations, later attempts", destinations.coldLaterAttempts());
+        addCounted("cold spans with calls", destinations.coldIntervals());
+        addCounted("cold spans above what tips and chance", destinations.overloadedColdIntervals());
+        final Histogram load = destinations.coldLoadPercent();
         if (load.getTotalCount() > 0) {
             final String name = "calls in a cold span, of what tips: ";
-            add(name + "p50", load.getValueAtPercentile(MEDIAN), "%", Basis.COUNTED, null);
-            add(name + "p99", load.getValueAtPercentile(NINETY_NINTH), "%", Basis.COUNTED, null);
+            add(name + "p50", load.getValueAtPercentile(P50), "%", Basis.COUNTED, null);
+            add(name + "p99", load.getValueAtPercentile(P99), "%", Basis.COUNTED, null);
             add(name + "worst", load.getMaxValue(), "%", Basis.COUNTED, null);
         }
     }
 
     private void addChecks(final Discovery discovery, final Destinations destinations, final MessageCounts messages) {
-        final long open = sum(HollowCourier::openMessages);
+        final long open = sum(SimulatedCourier::openMessages);
         checks.add(new Check(
-                "messages taken = ended + lost with a folder + open", messages.taken, messages.ended() + open));
+                "messages taken = ended + lost with a folder + open", messages.accepted, messages.ended() + open));
         checks.add(new Check("messages that ended twice", 0, messages.endedTwice));
-        checks.add(new Check("messages without an end after their time", 0, sum(HollowCourier::overdue)));
+        checks.add(new Check("messages without an end after their time", 0, sum(SimulatedCourier::overdueMessages)));
         checks.add(new Check(
                 "deliveries made = heard + unheard",
                 destinations.delivered(),
-                messages.delivered + messages.deliveriesUnheard));
+                messages.delivered + messages.unconfirmedDeliveries));
         checks.add(new Check("attempts made = calls seen", messages.attempts, destinations.calls()));
     }
 }
--- a/src/main/java/railspar/scale/fleet/FleetParameters.java
+++ b/src/main/java/railspar/scale/fleet/FleetParameters.java
@@ -6,18 +6,18 @@
 import railspar.scale.standin.FleetPlan;
 
 /**
- * Everything that decides how a fleet run goes.
+ * All parameters of a fleet run.
  *
  * @param plan the fleet, its list of endpoints, its zones and the seed
- * @param eventsPerSecond messages handed in a second, over all couriers
- * @param changesPerDay changes of the list a day
- * @param seconds simulated time in which the list changes and things go wrong
+ * @param eventsPerSecond messages that clients send per second, over all couriers
+ * @param changesPerDay changes of the endpoint list per day
+ * @param seconds simulated time in which the list changes and faults are injected
  * @param settleSeconds simulated time before that, in which all couriers fetch their first list
- * @param disturbances what goes wrong
- * @param backlogPerCourier messages that a courier holds from earlier when it first starts
- * @param destinationsKept destinations at rest of which a courier keeps what it has learned, at most
- * @param storedList true if a courier keeps a copy of its list on disk, which a restarted one begins with
- * @param model figures assumed of what surrounds the couriers
+ * @param disturbances the injected faults
+ * @param backlogPerCourier open messages that a courier has at its first start
+ * @param destinationsKept maximum number of idle destinations whose learned state a courier keeps
+ * @param storedList true if a courier keeps a copy of its list on disk, which a restarted courier begins with
+ * @param model the assumed properties of the couriers' surroundings
  */
 public record FleetParameters(
         FleetPlan plan,
@@ -30,34 +30,39 @@
         int destinationsKept,
         boolean storedList,
         SurroundingsModel model) {
-    /** The share of the run that a cut of a region may take, so that its end is seen. */
-    private static final double MOST_REGION_CUT = 0.5;
+    /** Maximum share of the run that a region cut may take, so that the run covers the time after it. */
+    private static final double MAX_REGION_CUT_SHARE = 0.5;
 
-    /** Refuses parameters that contradict themselves. */
+    /** Rejects invalid or inconsistent parameters. */
     public FleetParameters {
-        require(eventsPerSecond >= 0, "events a second are not negative: " + eventsPerSecond);
-        require(changesPerDay >= 0, "changes a day are not negative: " + changesPerDay);
-        require(seconds >= 1, "a run lasts at least one second, not " + seconds);
-        require(settleSeconds >= 0, "the time before it is not negative: " + settleSeconds);
-        require(model.callsPerSecond() > 0, "a destination bears some calls, not " + model.callsPerSecond());
+        require(eventsPerSecond >= 0, "the events per second must not be negative, but are " + eventsPerSecond);
+        require(changesPerDay >= 0, "the changes per day must not be negative, but are " + changesPerDay);
+        require(seconds >= 1, "a run must last at least one second, not " + seconds);
+        require(settleSeconds >= 0, "the settling time must not be negative, but is " + settleSeconds + " s");
+        require(
+                model.callsPerSecond() > 0,
+                "the limit of a destination must be above 0 calls per second, not " + model.callsPerSecond());
         require(
                 disturbances.outageSeconds() <= seconds,
-                "an outage is not longer than the run: " + disturbances.outageSeconds());
+                "the discovery outage must not be longer than the run, but is " + disturbances.outageSeconds() + " s");
         require(
                 disturbances.cutZone() >= NONE && disturbances.cutZone() < plan.zones(),
-                "the zones are 0 to " + (plan.zones() - 1) + ", not " + disturbances.cutZone());
+                "the zone must lie between 0 and " + (plan.zones() - 1) + ", not " + disturbances.cutZone());
         require(
                 disturbances.cutRegion() >= NONE && disturbances.cutRegion() < plan.regions(),
-                "the regions are 0 to " + (plan.regions() - 1) + ", not " + disturbances.cutRegion());
+                "the region must lie between 0 and " + (plan.regions() - 1) + ", not " + disturbances.cutRegion());
+        require(
+                disturbances.regionCutSeconds() <= MAX_REGION_CUT_SHARE * seconds,
+                "the region cut must not be longer than half of the run, but is " + disturbances.regionCutSeconds()
+                        + " s");
         require(
-                disturbances.regionCutSeconds() <= MOST_REGION_CUT * seconds,
-                "a region is cut off for half of the run at most, not " + disturbances.regionCutSeconds() + " s");
-        require(destinationsKept >= 0, "destinations kept are not negative: " + destinationsKept);
-        require(backlogPerCourier >= 0, "a backlog is not negative: " + backlogPerCourier);
+                destinationsKept >= 0,
+                "the number of kept destinations must not be negative, but is " + destinationsKept);
+        require(backlogPerCourier >= 0, "the backlog must not be negative, but is " + backlogPerCourier);
     }
 
-    /** Messages handed in a second at one courier. */
-    double eventsPerSecondAndCourier() {
+    /** Messages that clients send to one courier per second. */
+    double eventsPerSecondPerCourier() {
         return eventsPerSecond / plan.couriers();
     }
 }
--- a/src/main/java/railspar/scale/fleet/FleetRun.java
+++ b/src/main/java/railspar/scale/fleet/FleetRun.java
@@ -9,71 +9,71 @@
 import railspar.scale.standin.EndpointEntry;
 
 /**
- * One run of a fleet. Time passes in slices no longer than the least time of an answer: in a slice each courier goes
- * on by itself, then the destinations answer all calls of the slice in the order of their times. So neither the
- * order in which couriers are stepped nor the number of threads changes the result.
+ * One simulation run of a fleet. Time advances in slices no longer than the minimum time until an answer. In each slice
+ * every courier is simulated independently; then the destinations answer all calls of the slice in the order of their
+ * times. So neither the order in which couriers are stepped nor the number of threads changes the result.
  */
 public final class FleetRun {
-    /** The list names it; nobody connects. */
+    /** Port of all endpoints in the list; nothing connects to it. */
     private static final int ENDPOINT_PORT = 7070;
 
-    private static final long SLICE_US = Destinations.LEAST_ANSWER_US;
-    /** Far from zero, so that "never yet" lies long ago for the decisions. */
-    private static final long START_US = Units.us(3_600);
-    /** After the last message was handed in: its longest time, and what may come late. */
-    private static final long DRAIN_US = Units.us(30);
-    /** Simulated time between two reports of progress. */
-    private static final long PROGRESS_US = Units.US_PER_SECOND;
+    private static final long SLICE_US = Destinations.MIN_ANSWER_US;
+    /** Far from zero, so that for the decisions events that never happened lie far in the past. */
+    private static final long START_US = Units.fromSeconds(3_600);
+    /** Simulated time after the last message: the longest deadline and the time by which an end may be late. */
+    private static final long DRAIN_PERIOD_US = Units.fromSeconds(30);
+    /** Simulated time between two progress reports. */
+    private static final long PROGRESS_INTERVAL_US = Units.US_PER_SECOND;
 
-    private static final Comparator<AttemptCall> BY_TIME = Comparator.comparingLong(AttemptCall::atUs)
+    private static final Comparator<AttemptCall> BY_SENT_TIME = Comparator.comparingLong(AttemptCall::sentUs)
             .thenComparingInt(AttemptCall::courier)
-            .thenComparingLong(AttemptCall::order);
+            .thenComparingLong(AttemptCall::sequence);
 
     private final FleetParameters parameters;
     private final int threads;
-    private final AnswerLoss loss;
+    private final AnswerLoss answerLoss;
     private final long endUs;
-    /** What happens at the destinations, in order with the calls. */
-    private final EventQueue atDestinations = new EventQueue(START_US);
-    /** What happens to discovery and to the couriers: known before they are stepped through a slice. */
-    private final EventQueue scenario = new EventQueue(START_US);
+    /** Events at the destinations; they run in the order of their times together with the calls. */
+    private final EventQueue destinationEvents = new EventQueue(START_US);
+    /** Events at discovery and the couriers; they run before the couriers are stepped through a time slice. */
+    private final EventQueue scenarioEvents = new EventQueue(START_US);
 
     private final Destinations destinations;
     private final ControlUplink uplink;
-    private final RegionCut regionCut;
+    private final NetworkPartition partition;
     private final Discovery discovery;
-    private final List<HollowCourier> couriers = new ArrayList<>();
+    private final List<SimulatedCourier> couriers = new ArrayList<>();
     private long callNumber;
 
-    /** A run on so many threads, which keeps the couriers' lists in a folder where the parameters say so. */
+    /** Creates a run on this number of threads; stored lists are kept in the folder if the parameters ask for them. */
     public FleetRun(final FleetParameters parameters, final int threads, final Path folder) {
         this(parameters, threads, folder, AnswerLoss.NONE);
     }
 
-    FleetRun(final FleetParameters parameters, final int threads, final Path folder, final AnswerLoss loss) {
+    FleetRun(final FleetParameters parameters, final int threads, final Path folder, final AnswerLoss answerLoss) {
         this.parameters = parameters;
         this.threads = threads;
-        this.loss = loss;
-        final long scenarioUs = START_US + Units.us(parameters.settleSeconds());
-        final long arrivalsEndUs = scenarioUs + Units.us(parameters.seconds());
-        this.endUs = arrivalsEndUs + DRAIN_US;
-        this.destinations = new Destinations(parameters, atDestinations);
+        this.answerLoss = answerLoss;
+        final long scenarioStartUs = START_US + Units.fromSeconds(parameters.settleSeconds());
+        final long arrivalsEndUs = scenarioStartUs + Units.fromSeconds(parameters.seconds());
+        this.endUs = arrivalsEndUs + DRAIN_PERIOD_US;
+        this.destinations = new Destinations(parameters, destinationEvents);
         final SurroundingsModel.Control control = parameters.model().control();
         this.uplink = new ControlUplink(control.machines(), control.megabytesPerSecond(), START_US);
-        this.regionCut =
-                new RegionCut(parameters.plan(), parameters.disturbances().cutRegion());
+        this.partition = new NetworkPartition(
+                parameters.plan(), parameters.disturbances().cutRegion());
         this.discovery = new Discovery(listedEndpoints(), parameters.plan().seed());
         for (int index = 0; index < parameters.plan().couriers(); index++) {
             final Path listFolder = parameters.storedList() ? folder.resolve("courier-" + index) : null;
-            couriers.add(new HollowCourier(
-                    index, parameters, discovery, regionCut, listFolder, START_US, arrivalsEndUs, endUs));
+            couriers.add(new SimulatedCourier(
+                    index, parameters, discovery, partition, listFolder, START_US, arrivalsEndUs, endUs));
         }
-        new Scenario(parameters, scenario, discovery, regionCut, couriers, scenarioUs).schedule();
+        new Scenario(parameters, scenarioEvents, discovery, partition, couriers, scenarioStartUs).schedule();
     }
 
-    /** The plan's list, where a destination's share tells its limit. */
+    /** The endpoint list of the plan, in which the share of each entry is the limit of its destination. */
     private List<EndpointEntry> listedEndpoints() {
-        final double limit = destinations.listedLimit();
+        final double limit = destinations.advertisedCallsPerSecond();
         return parameters
                 .plan()
                 .endpoints(new InetSocketAddress(InetAddress.getLoopbackAddress(), ENDPOINT_PORT))
@@ -90,22 +90,22 @@
                 .toList();
     }
 
-    /** Plays the run to its end. */
-    public FleetFigures play(final Progress progress) throws InterruptedException {
-        couriers.forEach(HollowCourier::start);
+    /** Simulates the run to its end and returns the results. */
+    public FleetFigures run(final Progress progress) throws InterruptedException {
+        couriers.forEach(SimulatedCourier::start);
         try (CourierStepper stepper = new CourierStepper(couriers, threads)) {
             for (long fromUs = START_US; fromUs < endUs; fromUs += SLICE_US) {
-                scenario.runUntil(fromUs + SLICE_US);
+                scenarioEvents.runUntil(fromUs + SLICE_US);
                 stepper.runUntil(fromUs + SLICE_US);
-                sendLists(fromUs + SLICE_US);
+                transferLists(fromUs + SLICE_US);
                 answerCalls();
-                atDestinations.runUntil(fromUs + SLICE_US);
-                if ((fromUs - START_US) % PROGRESS_US == 0) {
-                    progress.at(seconds(fromUs - START_US), seconds(endUs - START_US));
+                destinationEvents.runUntil(fromUs + SLICE_US);
+                if ((fromUs - START_US) % PROGRESS_INTERVAL_US == 0) {
+                    progress.report(seconds(fromUs - START_US), seconds(endUs - START_US));
                 }
             }
         }
-        destinations.close();
+        destinations.finish();
         return FleetFigures.of(parameters, seconds(endUs - START_US), discovery, uplink, destinations, couriers);
     }
 
@@ -113,7 +113,7 @@
         return (double) us / Units.US_PER_SECOND;
     }
 
-    private void sendLists(final long untilUs) {
+    private void transferLists(final long untilUs) {
         final List<ControlUplink.Transfer> requested = new ArrayList<>();
         couriers.forEach(courier -> requested.addAll(courier.takeTransfers()));
         uplink.runUntil(untilUs, requested);
@@ -122,15 +122,15 @@
     private void answerCalls() {
         final List<AttemptCall> calls = new ArrayList<>();
         couriers.forEach(courier -> calls.addAll(courier.takeCalls()));
-        calls.sort(BY_TIME);
+        calls.sort(BY_SENT_TIME);
         for (final AttemptCall call : calls) {
-            atDestinations.runUntil(call.atUs());
+            destinationEvents.runUntil(call.sentUs());
             final String from = couriers.get(call.courier()).zoneName();
-            final Destinations.Answer answer = regionCut.separates(from, call.endpointZone())
+            final Destinations.Answer answer = partition.separates(from, call.endpointZone())
                     ? destinations.unreachable(call)
                     : destinations.answer(call);
-            if (!loss.loses(callNumber++)) {
-                couriers.get(call.courier()).answered(call, answer);
+            if (!answerLoss.isLost(callNumber++)) {
+                couriers.get(call.courier()).onAnswer(call, answer);
             }
         }
     }
--- a/src/main/java/railspar/scale/fleet/ListWatch.java
+++ b/src/main/java/railspar/scale/fleet/ListWatch.java
@@ -5,34 +5,35 @@
 import java.util.function.Consumer;
 
 /**
- * The watch of one courier process on its list, over the agent on its machine: silence is noticed, and a watch that
- * ended is begun again after a pause, as the real courier does. The agent has news some time after discovery.
+ * Models the watch of one courier process on the endpoint list, through the discovery agent on its machine. As in the
+ * real courier, a silent watch times out, and a watch that ended reconnects with backoff. The agent receives a change
+ * with a delay after discovery.
  */
 final class ListWatch {
-    /** Whole lists fetched, by what they were fetched for. */
+    /** Counts what watches fetched: whole lists by occasion, lines of changes, and the watches themselves. */
     static final class Fetches {
-        long wholeAtFirstStart, wholeAtRestart, wholeLater, changeLines, watches;
+        long wholeListsAtFirstStart, wholeListsAtRestart, wholeListsLater, changeLines, watches;
     }
 
-    /** Asks the control machines for a line of the list. */
+    /** Requests lines of the list from the control machines. */
     @FunctionalInterface
     interface Downloads {
-        /** So many bytes are wanted; the completion is told, between two slices, when they have been sent. */
+        /** Requests this number of bytes; the completion is called between two time slices when they have been sent. */
         ControlUplink.Transfer request(long bytes, ControlUplink.Completion completion);
     }
 
-    /** These are the pauses of the real courier ({@code railspar.node.Discovery}). */
-    private static final long SILENT_US = 3_000 * Units.US_PER_MS;
+    /** The timeouts and delays are those of the real courier ({@code railspar.node.Discovery}). */
+    private static final long SILENCE_TIMEOUT_US = 3_000 * Units.US_PER_MS;
 
-    private static final long FIRST_WORD_US = 1_000 * Units.US_PER_MS;
-    private static final long AGAIN_US = 300 * Units.US_PER_MS;
-    private static final long AGAIN_MOST_US = 1_200 * Units.US_PER_MS;
-    private static final double AGAIN_JITTER = 0.3;
-    private static final int MOST_DOUBLINGS = 2;
+    private static final long FIRST_RESPONSE_TIMEOUT_US = 1_000 * Units.US_PER_MS;
+    private static final long MIN_BACKOFF_US = 300 * Units.US_PER_MS;
+    private static final long MAX_BACKOFF_US = 1_200 * Units.US_PER_MS;
+    private static final double BACKOFF_JITTER = 0.3;
+    private static final int MAX_BACKOFF_DOUBLINGS = 2;
 
-    private static final long EMPTY_LINE_EVERY_US = 2_000 * Units.US_PER_MS;
+    private static final long HEARTBEAT_INTERVAL_US = 2_000 * Units.US_PER_MS;
     private static final double BYTES_PER_MB = 1e6;
-    private static final long AGENT_ANSWERS_US = Units.US_PER_MS;
+    private static final long AGENT_RESPONSE_US = Units.US_PER_MS;
 
     private final EventQueue events;
     private final Discovery discovery;
@@ -41,25 +42,27 @@
     private final Random random;
     private final SurroundingsModel model;
     private final Downloads downloads;
-    /** Whether the control machines cannot be reached. */
-    private final BooleanSupplier cutOff;
+    /** True while the control machines are unreachable because of a network partition. */
+    private final BooleanSupplier partitioned;
 
     private final boolean firstStart;
     private final boolean emptyFolder;
-    private final Consumer<byte[]> lines;
+    private final Consumer<byte[]> lineConsumer;
 
     private boolean closed;
-    /** The number of the connection; what belongs to an earlier one is void. */
+    /** Number of the current connection; events of earlier ones are ignored. */
     private int connection;
 
-    private boolean standing, connectionSilent, reading;
-    /** What is being read, or null. */
+    private boolean established, connectionSilent, transferring;
+    /** The current transfer, or null. */
     private ControlUplink.Transfer download;
 
     private long version;
-    private long lastWordUs;
-    private int barren;
-    private boolean hadWhole;
+    private long lastReceivedUs;
+    /** Number of reconnects since the last heartbeat or complete line. */
+    private int failedConnections;
+
+    private boolean receivedWholeList;
 
     ListWatch(
             final EventQueue events,
@@ -69,11 +72,11 @@
             final Random random,
             final SurroundingsModel model,
             final Downloads downloads,
-            final BooleanSupplier cutOff,
+            final BooleanSupplier partitioned,
             final boolean firstStart,
             final boolean emptyFolder,
             final long version,
-            final Consumer<byte[]> lines) {
+            final Consumer<byte[]> lineConsumer) {
         this.events = events;
         this.discovery = discovery;
         this.traffic = traffic;
@@ -81,28 +84,28 @@
         this.random = random;
         this.model = model;
         this.downloads = downloads;
-        this.cutOff = cutOff;
+        this.partitioned = partitioned;
         this.firstStart = firstStart;
         this.emptyFolder = emptyFolder;
         this.version = version;
-        this.lines = lines;
+        this.lineConsumer = lineConsumer;
     }
 
-    /** Asks for a watch. */
+    /** Opens a connection and requests a watch. */
     void begin() {
         connection++;
-        standing = false;
+        established = false;
         connectionSilent = false;
-        reading = false;
+        transferring = false;
         download = null;
-        lastWordUs = events.nowUs();
+        lastReceivedUs = events.nowUs();
         fetches.watches++;
-        traffic.count(events.nowUs(), ControlTraffic.REQUEST_BYTES);
-        onConnection(AGENT_ANSWERS_US, this::answer);
-        onConnection(FIRST_WORD_US, this::expectFirstWord);
+        traffic.count(events.nowUs(), ControlTraffic.WATCH_REQUEST_BYTES);
+        onConnection(AGENT_RESPONSE_US, this::onResponse);
+        onConnection(FIRST_RESPONSE_TIMEOUT_US, this::checkFirstResponse);
     }
 
-    /** The process has ended. */
+    /** Ends the watch because the process has ended. */
     void close() {
         closed = true;
         endConnection();
@@ -116,29 +119,30 @@
         }
     }
 
-    /** The connection stays open and says nothing any more. */
+    /** The connection stays open, but nothing arrives on it any more. */
     void fallSilent() {
         connectionSilent = true;
     }
 
-    /** The connection ends; another is begun after a pause. */
-    void breakOff() {
+    /** Ends the connection and opens another one after a backoff. */
+    void reconnect() {
         endConnection();
-        standing = false;
-        final long pauseUs = Math.min(AGAIN_MOST_US, AGAIN_US << Math.min(barren++, MOST_DOUBLINGS));
-        final long drawnUs = (long) (pauseUs * (1 + AGAIN_JITTER * random.nextDouble()));
-        events.after(drawnUs, () -> {
+        established = false;
+        final long backoffUs =
+                Math.min(MAX_BACKOFF_US, MIN_BACKOFF_US << Math.min(failedConnections++, MAX_BACKOFF_DOUBLINGS));
+        final long delayUs = (long) (backoffUs * (1 + BACKOFF_JITTER * random.nextDouble()));
+        events.after(delayUs, () -> {
             if (!closed) {
                 begin();
             }
         });
     }
 
-    /** Discovery has made a version, or speaks again: the agent has it after a while. */
-    void news() {
-        if (standing) {
+    /** Discovery has a new version or is no longer silent; the agent sends the changes after a random delay. */
+    void onNewVersion() {
+        if (established) {
             final long delayUs = (long) (model.agentDelayMs() * Units.US_PER_MS * random.nextDouble());
-            onConnection(delayUs, this::tell);
+            onConnection(delayUs, this::sendUpdate);
         }
     }
 
@@ -153,90 +157,91 @@
         }
     }
 
-    private boolean unheard() {
-        return discovery.silent() || connectionSilent || cutOff.getAsBoolean();
+    private boolean isUnreachable() {
+        return discovery.isSilent() || connectionSilent || partitioned.getAsBoolean();
     }
 
-    private void answer() {
-        if (unheard()) {
+    private void onResponse() {
+        if (isUnreachable()) {
             return;
         }
-        standing = true;
-        word(ControlTraffic.ANSWER_HEAD_BYTES);
-        tell();
-        onConnection(EMPTY_LINE_EVERY_US, this::emptyLine);
-        onConnection(SILENT_US, this::expectWord);
+        established = true;
+        received(ControlTraffic.RESPONSE_HEAD_BYTES);
+        sendUpdate();
+        onConnection(HEARTBEAT_INTERVAL_US, this::onHeartbeat);
+        onConnection(SILENCE_TIMEOUT_US, this::checkSilence);
     }
 
-    private void expectFirstWord() {
-        if (!standing) {
-            breakOff();
+    private void checkFirstResponse() {
+        if (!established) {
+            reconnect();
         }
     }
 
-    private void expectWord() {
-        final long silentUntilUs = lastWordUs + SILENT_US;
-        if (!reading && events.nowUs() >= silentUntilUs) {
-            breakOff();
+    private void checkSilence() {
+        final long silentUntilUs = lastReceivedUs + SILENCE_TIMEOUT_US;
+        if (!transferring && events.nowUs() >= silentUntilUs) {
+            reconnect();
         } else {
-            onConnection(Math.max(Units.US_PER_MS, silentUntilUs - events.nowUs()), this::expectWord);
+            onConnection(Math.max(Units.US_PER_MS, silentUntilUs - events.nowUs()), this::checkSilence);
         }
     }
 
-    private void emptyLine() {
-        if (!unheard()) {
-            word(ControlTraffic.EMPTY_LINE_BYTES);
-            barren = 0;
+    private void onHeartbeat() {
+        if (!isUnreachable()) {
+            received(ControlTraffic.HEARTBEAT_BYTES);
+            failedConnections = 0;
         }
-        onConnection(EMPTY_LINE_EVERY_US, this::emptyLine);
+        onConnection(HEARTBEAT_INTERVAL_US, this::onHeartbeat);
     }
 
-    private void word(final long bytes) {
-        lastWordUs = events.nowUs();
+    private void received(final long bytes) {
+        lastReceivedUs = events.nowUs();
         traffic.count(events.nowUs(), bytes);
     }
 
-    /** Sends what is new; a line is in force once it has been read to its end. */
-    private void tell() {
-        if (unheard() || reading || version == discovery.version()) {
+    /** Sends the changes since the version of the courier; they are in force once the line was read completely. */
+    private void sendUpdate() {
+        if (isUnreachable() || transferring || version == discovery.version()) {
             return;
         }
         final boolean whole = discovery.isWholeAfter(version);
         final byte[] line = discovery.lineAfter(version);
-        final long told = discovery.version();
-        final long bytes = line.length + ControlTraffic.CHUNK_BYTES;
+        final long newVersion = discovery.version();
+        final long bytes = line.length + ControlTraffic.CHUNK_FRAMING_BYTES;
         count(whole, bytes);
-        reading = true;
+        transferring = true;
         final double readSeconds = line.length / (model.listMegabytesPerSecond() * BYTES_PER_MB);
-        final long readUs = events.nowUs() + Units.us(readSeconds);
+        final long readAtUs = events.nowUs() + Units.fromSeconds(readSeconds);
         final int number = connection;
         download = downloads.request(
                 bytes,
-                sentUs -> events.atOrNext(
-                        Math.max(sentUs, readUs), () -> runOnConnection(number, () -> read(line, told))));
+                sentAtUs -> events.atOrNext(
+                        Math.max(sentAtUs, readAtUs),
+                        () -> runOnConnection(number, () -> onTransferred(line, newVersion))));
     }
 
     private void count(final boolean whole, final long bytes) {
-        final boolean first = whole && !hadWhole;
+        final boolean first = whole && !receivedWholeList;
         if (first && emptyFolder) {
-            lastWordUs = events.nowUs();
-            traffic.countFirstList(bytes);
+            lastReceivedUs = events.nowUs();
+            traffic.countInitialList(bytes);
         } else {
-            word(bytes);
+            received(bytes);
         }
-        fetches.wholeAtFirstStart += first && firstStart ? 1 : 0;
-        fetches.wholeAtRestart += first && !firstStart ? 1 : 0;
-        fetches.wholeLater += whole && !first ? 1 : 0;
+        fetches.wholeListsAtFirstStart += first && firstStart ? 1 : 0;
+        fetches.wholeListsAtRestart += first && !firstStart ? 1 : 0;
+        fetches.wholeListsLater += whole && !first ? 1 : 0;
         fetches.changeLines += whole ? 0 : 1;
-        hadWhole |= whole;
+        receivedWholeList |= whole;
     }
 
-    private void read(final byte[] line, final long told) {
-        reading = false;
-        lastWordUs = events.nowUs();
-        barren = 0;
-        version = told;
-        lines.accept(line);
-        tell();
+    private void onTransferred(final byte[] line, final long newVersion) {
+        transferring = false;
+        lastReceivedUs = events.nowUs();
+        failedConnections = 0;
+        version = newVersion;
+        lineConsumer.accept(line);
+        sendUpdate();
     }
 }
--- a/src/main/java/railspar/scale/fleet/MessageCounts.java
+++ b/src/main/java/railspar/scale/fleet/MessageCounts.java
@@ -1,29 +1,31 @@
 package railspar.scale.fleet;
 
-/** What became of messages; the counts of couriers can be added up. */
+/** Counts of messages by outcome; the counts of several couriers can be added up. */
 final class MessageCounts {
-    long taken, delivered, refused, failed, givenUp, late, endedTwice;
-    /** Held by a courier whose folder was lost; the platform hands them to others. */
-    long lostWithFolder;
+    long accepted, delivered, rejected, failed, expired, late, endedTwice;
+    /** Open messages of couriers whose folder was lost; the platform gives them to other couriers. */
+    long lostWithStateFolder;
 
-    /** Attempts, and deliveries that a destination made but whose courier had stopped waiting or was killed. */
-    long attempts, deliveriesUnheard;
+    /**
+     * Attempts, and deliveries that succeeded at the destination after the courier had stopped waiting or was killed.
+     */
+    long attempts, unconfirmedDeliveries;
 
     void add(final MessageCounts other) {
-        taken += other.taken;
+        accepted += other.accepted;
         delivered += other.delivered;
-        refused += other.refused;
+        rejected += other.rejected;
         failed += other.failed;
-        givenUp += other.givenUp;
+        expired += other.expired;
         late += other.late;
         endedTwice += other.endedTwice;
-        lostWithFolder += other.lostWithFolder;
+        lostWithStateFolder += other.lostWithStateFolder;
         attempts += other.attempts;
-        deliveriesUnheard += other.deliveriesUnheard;
+        unconfirmedDeliveries += other.unconfirmedDeliveries;
     }
 
-    /** Messages that this fleet owes nothing any more. */
+    /** Messages that this fleet no longer has to deliver or reject. */
     long ended() {
-        return delivered + refused + failed + lostWithFolder;
+        return delivered + rejected + failed + lostWithStateFolder;
     }
 }
--- a/src/main/java/railspar/scale/fleet/RegionCut.java
+++ b/src/main/java/railspar/scale/fleet/NetworkPartition.java
@@ -5,15 +5,15 @@
 import railspar.scale.standin.FleetPlan;
 
 /**
- * Whether one region is cut off from the others, with the control machines among these. It changes between two slices
- * only, so that couriers may read it while they are stepped.
+ * A network partition between one region and the other regions, which include the control machines. It begins and ends
+ * only between two time slices, so couriers can read it while they are stepped on several threads.
  */
-final class RegionCut {
+final class NetworkPartition {
     private final Map<String, Integer> regionOfZone = new HashMap<>();
     private final int region;
     private boolean active;
 
-    RegionCut(final FleetPlan plan, final int region) {
+    NetworkPartition(final FleetPlan plan, final int region) {
         this.region = region;
         for (int zone = 0; zone < plan.zones(); zone++) {
             regionOfZone.put(plan.zoneName(zone), plan.regionOf(zone));
@@ -28,12 +28,12 @@
         active = false;
     }
 
-    /** True if what is in this zone does not reach the control machines now. */
-    boolean cutsOffControl(final String zone) {
+    /** True while couriers in this zone cannot reach the control machines. */
+    boolean isCutOffFromControl(final String zone) {
         return active && regionOfZone.get(zone) == region;
     }
 
-    /** True if a call from one of these zones to the other goes nowhere now. */
+    /** True while calls between these zones fail. */
     boolean separates(final String from, final String to) {
         return active && (regionOfZone.get(from) == region) != (regionOfZone.get(to) == region);
     }
--- a/src/main/java/railspar/scale/fleet/OpenMessage.java
+++ b/src/main/java/railspar/scale/fleet/OpenMessage.java
@@ -2,29 +2,29 @@
 
 import railspar.Courier;
 
-/** A message that a courier has taken and that has no end yet, as its journal would hold it. */
+/** A message that a courier has accepted and not ended yet, with the state that its journal would contain. */
 final class OpenMessage {
     final Courier.Message message;
-    /** Attempts made so far; the last one is out while {@link #callOut} is true. */
+    /** Attempts made so far; the last one is in flight while {@link #callInFlight} is true. */
     int attempts;
 
-    boolean callOut;
+    boolean callInFlight;
     long callSentUs;
-    boolean mayHaveRun;
-    long firstRunUs;
+    boolean mayHaveTakenEffect;
+    long firstEffectUs;
 
     OpenMessage(final Courier.Message message) {
         this.message = message;
     }
 
-    /** An attempt may have had its effect. */
-    void mayHaveRunSince(final long sentUs) {
-        firstRunUs = mayHaveRun ? Math.min(firstRunUs, sentUs) : sentUs;
-        mayHaveRun = true;
+    /** Records that an attempt sent at this time may have taken effect. */
+    void recordPossibleEffect(final long sentUs) {
+        firstEffectUs = mayHaveTakenEffect ? Math.min(firstEffectUs, sentUs) : sentUs;
+        mayHaveTakenEffect = true;
     }
 
-    /** What a process that starts anew is told of it. */
-    Courier.AttemptHistory past() {
-        return new Courier.AttemptHistory(attempts, mayHaveRun, firstRunUs, "");
+    /** The earlier attempts, as a restarted process gets them from its journal. */
+    Courier.AttemptHistory history() {
+        return new Courier.AttemptHistory(attempts, mayHaveTakenEffect, firstEffectUs, "");
     }
 }
--- a/src/main/java/railspar/scale/fleet/OpenMessages.java
+++ b/src/main/java/railspar/scale/fleet/OpenMessages.java
@@ -7,47 +7,48 @@
 import java.util.Random;
 import railspar.Courier;
 
-/** The messages that one courier has taken and that have no end yet, as its journal holds them over a restart. */
+/** The open messages of one courier, which survive a restart of its process as those in a journal do. */
 final class OpenMessages {
-    /** How late an end may come, as the platform allows. */
-    private static final long LATE_US = 300 * Units.US_PER_MS;
-    /** After a start no end is late for so long. */
-    private static final long START_GRACE_US = 1_500 * Units.US_PER_MS;
+    /** How long after the deadline the platform accepts the end of a message. */
+    private static final long LATE_TOLERANCE_US = 300 * Units.US_PER_MS;
+    /** No message counts as late for this long after a process is ready. */
+    private static final long START_GRACE_PERIOD_US = 1_500 * Units.US_PER_MS;
 
     private final int courier;
     private final int destinations;
     private final List<Courier.MessageClass> classes;
-    private final Random traffic;
+    private final Random random;
     private final MessageCounts counts;
     private final Map<String, OpenMessage> open = new LinkedHashMap<>();
-    private final BitSet contacted = new BitSet();
-    private long made;
+    private final BitSet usedDestinations = new BitSet();
+    private long created;
 
-    /** What is drawn at random comes from {@code traffic}; ends are counted in {@code counts}. */
+    /** Classes and destinations are drawn from {@code random}; outcomes are counted in {@code counts}. */
     OpenMessages(
             final int courier,
             final int destinations,
             final List<Courier.MessageClass> classes,
-            final Random traffic,
+            final Random random,
             final MessageCounts counts) {
         this.courier = courier;
         this.destinations = destinations;
         this.classes = classes;
-        this.traffic = traffic;
+        this.random = random;
         this.counts = counts;
     }
 
-    /** Takes a message of any class for any destination. */
-    OpenMessage take(final long nowUs) {
-        final int messageClass = traffic.nextInt(classes.size());
-        final long destination = traffic.nextInt(destinations);
-        final long endUs = nowUs + classes.get(messageClass).deadlineUs();
-        final String id = "c" + courier + "-" + made++;
-        final OpenMessage taken = new OpenMessage(new Courier.Message(id, messageClass, -1, null, endUs, destination));
-        contacted.set((int) destination);
-        open.put(id, taken);
-        counts.taken++;
-        return taken;
+    /** Accepts a message of a random class for a random destination. */
+    OpenMessage accept(final long nowUs) {
+        final int messageClass = random.nextInt(classes.size());
+        final long destination = random.nextInt(destinations);
+        final long deadlineUs = nowUs + classes.get(messageClass).deadlineUs();
+        final String id = "c" + courier + "-" + created++;
+        final OpenMessage accepted =
+                new OpenMessage(new Courier.Message(id, messageClass, -1, null, deadlineUs, destination));
+        usedDestinations.set((int) destination);
+        open.put(id, accepted);
+        counts.accepted++;
+        return accepted;
     }
 
     /** The message with this id, or null if it has ended. */
@@ -55,7 +56,7 @@
         return open.get(id);
     }
 
-    /** All of them, in the order in which they were taken. */
+    /** All open messages, in the order in which they were accepted. */
     List<OpenMessage> all() {
         return List.copyOf(open.values());
     }
@@ -64,12 +65,12 @@
         return open.size();
     }
 
-    /** Destinations that there was a message for. */
-    int destinationsContacted() {
-        return contacted.cardinality();
+    /** Number of destinations that there was a message for. */
+    int usedDestinations() {
+        return usedDestinations.cardinality();
     }
 
-    /** Ends a message, and counts whether that is late at a courier that was ready at {@code readyAtUs}. */
+    /** Ends a message and counts it as late if its deadline has passed, at a courier ready since {@code readyAtUs}. */
     void end(final String id, final long nowUs, final long readyAtUs, final Runnable count) {
         final OpenMessage ended = open.remove(id);
         if (ended == null) {
@@ -77,30 +78,31 @@
             return;
         }
         count.run();
-        final long dueUs = Math.max(ended.message.validUntilUs() + LATE_US, readyAtUs + START_GRACE_US);
-        counts.late += nowUs > dueUs ? 1 : 0;
+        final long latestEndUs =
+                Math.max(ended.message.validUntilUs() + LATE_TOLERANCE_US, readyAtUs + START_GRACE_PERIOD_US);
+        counts.late += nowUs > latestEndUs ? 1 : 0;
     }
 
-    /** The process was killed: calls that are out may have had their effect. */
-    void cutOffCalls() {
+    /** Aborts the calls in flight of a killed process; they may have taken effect. */
+    void abortCalls() {
         for (final OpenMessage message : open.values()) {
-            if (message.callOut) {
-                message.callOut = false;
-                message.mayHaveRunSince(message.callSentUs);
+            if (message.callInFlight) {
+                message.callInFlight = false;
+                message.recordPossibleEffect(message.callSentUs);
             }
         }
     }
 
-    /** The folder was lost with all of them; the platform hands them to others. */
-    void loseAll() {
-        counts.lostWithFolder += open.size();
+    /** Drops all messages because the folder was lost; the platform gives them to other couriers. */
+    void discardAll() {
+        counts.lostWithStateFolder += open.size();
         open.clear();
     }
 
-    /** Messages without an end whose time is over. */
+    /** Open messages whose deadline and tolerance have passed. */
     long overdue(final long nowUs) {
         return open.values().stream()
-                .filter(message -> message.message.validUntilUs() + LATE_US < nowUs)
+                .filter(message -> message.message.validUntilUs() + LATE_TOLERANCE_US < nowUs)
                 .count();
     }
 }
--- a/src/main/java/railspar/scale/fleet/ProcessorTime.java
+++ b/src/main/java/railspar/scale/fleet/ProcessorTime.java
@@ -4,14 +4,14 @@
 import java.lang.management.ThreadMXBean;
 
 /**
- * Processor time of couriers by purpose, measured on the machine of the run; it has no part in the simulation. Rare
- * and long pieces are measured by the thread's processor time, frequent and short ones by the clock around them.
+ * Processor time of couriers by purpose, measured on the machine of the run; it does not influence the simulation. Rare
+ * and long operations are measured by the processor time of the thread, frequent and short ones by elapsed time.
  */
 final class ProcessorTime {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
-    long openListNs, listNs, listLongestNs, applyNs, eventDecisionsNs, wakeDecisionsNs;
-    long eventDecisions, wakeDecisions;
+    long openListNs, listNs, longestListNs, applyNs, eventDecisionsNs, timerDecisionsNs;
+    long eventDecisions, timerDecisions;
 
     /** The processor time of this thread so far. */
     static long threadNs() {
@@ -20,17 +20,17 @@
 
     void countList(final long ns) {
         listNs += ns;
-        listLongestNs = Math.max(listLongestNs, ns);
+        longestListNs = Math.max(longestListNs, ns);
     }
 
     void add(final ProcessorTime other) {
         openListNs += other.openListNs;
         listNs += other.listNs;
-        listLongestNs = Math.max(listLongestNs, other.listLongestNs);
+        longestListNs = Math.max(longestListNs, other.longestListNs);
         applyNs += other.applyNs;
         eventDecisionsNs += other.eventDecisionsNs;
-        wakeDecisionsNs += other.wakeDecisionsNs;
+        timerDecisionsNs += other.timerDecisionsNs;
         eventDecisions += other.eventDecisions;
-        wakeDecisions += other.wakeDecisions;
+        timerDecisions += other.timerDecisions;
     }
 }
--- a/src/main/java/railspar/scale/fleet/Progress.java
+++ b/src/main/java/railspar/scale/fleet/Progress.java
@@ -1,8 +1,8 @@
 package railspar.scale.fleet;
 
-/** Told now and then how far a run is. */
+/** Receives progress reports of a run. */
 @FunctionalInterface
 public interface Progress {
-    /** So much simulated time has passed, of so much. */
-    void at(double seconds, double ofSeconds);
+    /** Reports the simulated time so far and in total, in seconds. */
+    void report(double seconds, double totalSeconds);
 }
--- a/src/main/java/railspar/scale/fleet/Scenario.java
+++ b/src/main/java/railspar/scale/fleet/Scenario.java
@@ -3,40 +3,40 @@
 import java.util.List;
 import java.util.Random;
 
-/** What happens around the couriers, and when: changes and restarts all along, each of the disturbances once. */
+/** Schedules the events of a run: list changes and restarts throughout, each of the other disturbances once. */
 final class Scenario {
-    /** Parts of the run, as shares of its length: restarts lie between two of them, the rest begins at one. */
-    private static final double RESTARTS_FROM = 0.2;
+    /** Times of the disturbances as shares of the run; restarts are distributed between their two times. */
+    private static final double RESTARTS_BEGIN = 0.2;
 
-    private static final double RESTARTS_TO = 0.9;
-    private static final double OUTAGE_AT = 0.35;
-    private static final double SILENT_WATCHES_AT = 0.55;
-    private static final double ZONE_CUT_AT = 0.7;
-    private static final double REGION_CUT_AT = 0.25;
+    private static final double RESTARTS_END = 0.9;
+    private static final double OUTAGE_BEGIN = 0.35;
+    private static final double SILENT_WATCHES_BEGIN = 0.55;
+    private static final double ZONE_CUT_BEGIN = 0.7;
+    private static final double PARTITION_BEGIN = 0.25;
 
     private final FleetParameters parameters;
     private final EventQueue events;
     private final Discovery discovery;
-    private final RegionCut regionCut;
-    private final List<HollowCourier> couriers;
+    private final NetworkPartition partition;
+    private final List<SimulatedCourier> couriers;
     private final long startUs;
-    private final long lengthUs;
+    private final long durationUs;
     private final Random random;
 
     Scenario(
             final FleetParameters parameters,
             final EventQueue events,
             final Discovery discovery,
-            final RegionCut regionCut,
-            final List<HollowCourier> couriers,
+            final NetworkPartition partition,
+            final List<SimulatedCourier> couriers,
             final long startUs) {
         this.parameters = parameters;
         this.events = events;
         this.discovery = discovery;
-        this.regionCut = regionCut;
+        this.partition = partition;
         this.couriers = couriers;
         this.startUs = startUs;
-        this.lengthUs = Units.us(parameters.seconds());
+        this.durationUs = Units.fromSeconds(parameters.seconds());
         this.random = new Random(Seeds.of(parameters.plan().seed(), Seeds.SCENARIO, 1));
     }
 
@@ -46,11 +46,11 @@
         scheduleOutage();
         scheduleSilentWatches();
         scheduleZoneCut();
-        scheduleRegionCut();
+        schedulePartition();
     }
 
     private void at(final double share, final Runnable action) {
-        events.at(startUs + (long) (share * lengthUs), action);
+        events.at(startUs + (long) (share * durationUs), action);
     }
 
     private void scheduleChanges() {
@@ -61,86 +61,86 @@
     }
 
     private void change() {
-        discovery.changeOne(events.nowUs());
-        tellNews();
+        discovery.changeRandomEndpoint(events.nowUs());
+        notifyWatches();
     }
 
-    private void tellNews() {
-        couriers.forEach(
-                courier -> courier.at(events.nowUs(), () -> courier.watch().news()));
+    private void notifyWatches() {
+        couriers.forEach(courier ->
+                courier.scheduleAt(events.nowUs(), () -> courier.watch().onNewVersion()));
     }
 
     private void scheduleRestarts() {
         for (int number = 0; number < parameters.disturbances().restarts(); number++) {
-            final double part =
+            final double position =
                     (number + random.nextDouble()) / parameters.disturbances().restarts();
-            final HollowCourier courier = couriers.get(random.nextInt(couriers.size()));
-            at(RESTARTS_FROM + (RESTARTS_TO - RESTARTS_FROM) * part, () -> restart(courier));
+            final SimulatedCourier courier = couriers.get(random.nextInt(couriers.size()));
+            at(RESTARTS_BEGIN + (RESTARTS_END - RESTARTS_BEGIN) * position, () -> restart(courier));
         }
     }
 
-    private void restart(final HollowCourier courier) {
-        courier.at(events.nowUs(), courier::restart);
+    private void restart(final SimulatedCourier courier) {
+        courier.scheduleAt(events.nowUs(), courier::restart);
     }
 
     private void scheduleOutage() {
         if (parameters.disturbances().outageSeconds() > 0) {
-            at(OUTAGE_AT, () -> {
-                discovery.silence(true);
-                events.after(Units.us(parameters.disturbances().outageSeconds()), this::endOutage);
+            at(OUTAGE_BEGIN, () -> {
+                discovery.setSilent(true);
+                events.after(Units.fromSeconds(parameters.disturbances().outageSeconds()), this::endOutage);
             });
         }
     }
 
     private void endOutage() {
-        discovery.silence(false);
-        tellNews();
+        discovery.setSilent(false);
+        notifyWatches();
     }
 
     private void scheduleSilentWatches() {
         final int silent = (int) Math.round(parameters.disturbances().silentWatches() * couriers.size());
         at(
-                SILENT_WATCHES_AT,
+                SILENT_WATCHES_BEGIN,
                 () -> couriers.subList(0, silent)
-                        .forEach(courier ->
-                                courier.at(events.nowUs(), () -> courier.watch().fallSilent())));
+                        .forEach(courier -> courier.scheduleAt(
+                                events.nowUs(), () -> courier.watch().fallSilent())));
     }
 
     private void scheduleZoneCut() {
         if (parameters.disturbances().cutZone() != Disturbances.NONE) {
             at(
-                    ZONE_CUT_AT,
+                    ZONE_CUT_BEGIN,
                     () -> couriers.stream()
                             .filter(courier ->
                                     courier.zone() == parameters.disturbances().cutZone())
-                            .forEach(this::cut));
+                            .forEach(this::applyZoneCut));
         }
     }
 
-    private void scheduleRegionCut() {
+    private void schedulePartition() {
         if (parameters.disturbances().cutRegion() != Disturbances.NONE) {
-            at(REGION_CUT_AT, () -> {
-                regionCut.begin();
-                events.after(Units.us(parameters.disturbances().regionCutSeconds()), this::endRegionCut);
+            at(PARTITION_BEGIN, () -> {
+                partition.begin();
+                events.after(Units.fromSeconds(parameters.disturbances().regionCutSeconds()), this::endPartition);
             });
         }
     }
 
-    private void endRegionCut() {
-        final List<HollowCourier> cutOff = couriers.stream()
-                .filter(courier -> regionCut.cutsOffControl(courier.zoneName()))
+    private void endPartition() {
+        final List<SimulatedCourier> cutOff = couriers.stream()
+                .filter(courier -> partition.isCutOffFromControl(courier.zoneName()))
                 .toList();
-        regionCut.end();
-        cutOff.forEach(courier -> courier.at(events.nowUs(), courier::controlReachable));
+        partition.end();
+        cutOff.forEach(courier -> courier.scheduleAt(events.nowUs(), courier::onControlReachable));
     }
 
-    private void cut(final HollowCourier courier) {
+    private void applyZoneCut(final SimulatedCourier courier) {
         final Runnable action =
                 switch (parameters.disturbances().cutMode()) {
                     case RESTART -> courier::restart;
-                    case RECONNECT -> () -> courier.watch().breakOff();
-                    case REPLACE -> courier::replace;
+                    case RECONNECT -> () -> courier.watch().reconnect();
+                    case REPLACE -> courier::replaceWithEmptyFolder;
                 };
-        courier.at(events.nowUs(), action);
+        courier.scheduleAt(events.nowUs(), action);
     }
 }
--- a/src/main/java/railspar/scale/fleet/Seeds.java
+++ b/src/main/java/railspar/scale/fleet/Seeds.java
@@ -1,6 +1,6 @@
 package railspar.scale.fleet;
 
-/** Seeds for the parts of a run, all drawn from the one of the parameters. */
+/** Derives the seeds of the parts of a run from the seed in its parameters. */
 final class Seeds {
     static final int DESTINATIONS = 1;
     static final int TRAFFIC = 2;
@@ -12,7 +12,7 @@
 
     private Seeds() {}
 
-    /** The seed of a part, and of one of its members; neighbouring ones have nothing in common. */
+    /** The seed of a member of a part; the seeds of neighbouring members are uncorrelated. */
     static long of(final long seed, final int part, final long member) {
         return mix(mix(mix(seed) + part) + member);
     }
--- a/src/main/java/railspar/scale/fleet/HollowCourier.java
+++ b/src/main/java/railspar/scale/fleet/SimulatedCourier.java
@@ -10,13 +10,14 @@
 import railspar.Courier;
 
 /**
- * One courier without sockets and files: the real decisions, a list of its own fed by the bytes of a watch, messages
- * handed in at random, and calls that the models of the destinations answer. Between two slices it meets nobody.
+ * One courier without sockets and journal: the production decisions, an endpoint list updated by the bytes of a watch,
+ * messages at random times, and calls that the destination models answer. It interacts with the rest of the simulation
+ * only between two time slices.
  */
-final class HollowCourier implements Courier.Actions {
+final class SimulatedCourier implements Courier.Actions {
     private static final double BYTES_PER_MB = 1e6;
-    /** A message refused so near its end was given up rather than turned away. */
-    private static final long GIVEN_UP_WITHIN_US = 50 * Units.US_PER_MS;
+    /** A message that is rejected less than this before its deadline counts as expired. */
+    private static final long EXPIRY_MARGIN_US = 50 * Units.US_PER_MS;
 
     private final int index;
     private final String zoneName;
@@ -24,40 +25,40 @@
     private final Courier.Settings settings;
     private final EventQueue events;
     private final Discovery discovery;
-    private final RegionCut regionCut;
-    private final Random traffic;
-    private final Random pauses;
+    private final NetworkPartition partition;
+    private final Random trafficRandom;
+    private final Random watchRandom;
     private final long arrivalsEndUs;
     private final OpenMessages messages;
     private final List<AttemptCall> calls = new ArrayList<>();
     private final List<ControlUplink.Transfer> transfers = new ArrayList<>();
     private final CourierFigures figures;
 
-    /** Where the list is kept, or null. */
+    /** The folder of the stored list, or null if none is kept. */
     private final Path listFolder;
 
     private CourierList list;
     private Control control;
     private ListWatch watch;
-    /** Processes so far; what was meant for an earlier one is void. */
-    private int process;
+    /** Incremented at each start and kill; events of an earlier process are ignored. */
+    private int processNumber;
 
     private boolean running, ready;
-    /** The process began, or begins next, on an empty folder. */
+    /** The next process starts with an empty folder. */
     private boolean emptyFolder = true;
 
     private long processStartUs;
     private long readyAtUs;
-    /** Since when the control machines can be reached. */
-    private long controlSinceUs;
+    /** When the control machines last became reachable. */
+    private long controlReachableSinceUs;
 
-    private long callsMade;
+    private long callsSent;
 
-    HollowCourier(
+    SimulatedCourier(
             final int index,
             final FleetParameters parameters,
             final Discovery discovery,
-            final RegionCut regionCut,
+            final NetworkPartition partition,
             final Path listFolder,
             final long startUs,
             final long arrivalsEndUs,
@@ -66,17 +67,17 @@
         this.index = index;
         this.parameters = parameters;
         this.discovery = discovery;
-        this.regionCut = regionCut;
+        this.partition = partition;
         this.listFolder = listFolder;
         this.arrivalsEndUs = arrivalsEndUs;
         this.zoneName = parameters.plan().zoneName(zone());
         this.settings = CourierSettings.of(parameters, zoneName);
         this.events = new EventQueue(startUs);
-        this.traffic = new Random(Seeds.of(seed, Seeds.TRAFFIC, index));
-        this.pauses = new Random(Seeds.of(seed, Seeds.WATCH, index));
+        this.trafficRandom = new Random(Seeds.of(seed, Seeds.TRAFFIC, index));
+        this.watchRandom = new Random(Seeds.of(seed, Seeds.WATCH, index));
         this.figures = new CourierFigures(startUs, endUs);
         this.messages = new OpenMessages(
-                index, parameters.plan().destinations(), settings.classes(), traffic, figures.messages);
+                index, parameters.plan().destinations(), settings.classes(), trafficRandom, figures.messages);
     }
 
     String zoneName() {
@@ -95,7 +96,7 @@
         return figures;
     }
 
-    // ---------------------------------------------------------------- the process
+    // ---------------------------------------------------------------- process
 
     /** Starts the first process. */
     void start() {
@@ -103,7 +104,7 @@
     }
 
     private void startProcess() {
-        final boolean first = process++ == 0;
+        final boolean first = processNumber++ == 0;
         running = true;
         processStartUs = events.nowUs();
         list = openList();
@@ -113,48 +114,50 @@
                 discovery,
                 figures.traffic,
                 figures.fetches,
-                pauses,
+                watchRandom,
                 parameters.model(),
-                this::download,
-                () -> regionCut.cutsOffControl(zoneName()),
+                this::requestTransfer,
+                () -> partition.isCutOffFromControl(zoneName()),
                 first,
                 emptyFolder,
                 list.version(),
-                this::onLine);
+                this::onListLine);
         emptyFolder = false;
         final double readSeconds = storedBytes() / (parameters.model().listMegabytesPerSecond() * BYTES_PER_MB);
-        inThisProcess(parameters.model().startMs() * Units.US_PER_MS + Units.us(readSeconds), this::begin);
+        afterInThisProcess(
+                parameters.model().startMs() * Units.US_PER_MS + Units.fromSeconds(readSeconds),
+                this::onProcessStarted);
     }
 
     private CourierList openList() {
         if (listFolder == null) {
             return CourierList.unstored();
         }
-        final long fromNs = ProcessorTime.threadNs();
+        final long startNs = ProcessorTime.threadNs();
         final CourierList opened = CourierList.stored(listFolder);
-        figures.processor.openListNs += ProcessorTime.threadNs() - fromNs;
+        figures.processor.openListNs += ProcessorTime.threadNs() - startNs;
         return opened;
     }
 
-    /** Bytes that this courier's copy of the list takes on disk. */
+    /** Size on disk of this courier's copy of the list. */
     long storedBytes() {
         try {
-            return listFolder == null ? 0 : CourierList.bytesIn(listFolder);
+            return listFolder == null ? 0 : CourierList.storedBytesIn(listFolder);
         } catch (final IOException e) {
-            throw new UncheckedIOException("the folder of courier " + index + " cannot be read", e);
+            throw new UncheckedIOException("cannot read the list folder of courier " + index, e);
         }
     }
 
-    /** The one place where the decisions are made; they are given a seed of their own at each start. */
+    /** Creates the decisions, with a different seed at each start. */
     private Control newControl() {
-        final long member = ((long) index << Integer.SIZE) + process;
+        final long member = ((long) index << Integer.SIZE) + processNumber;
         final long seed = Seeds.of(parameters.plan().seed(), Seeds.DECISIONS, member);
         return new Control(settings, seed, this, list, parameters.destinationsKept());
     }
 
-    private void begin() {
-        if (process == 1) {
-            makeBacklog();
+    private void onProcessStarted() {
+        if (processNumber == 1) {
+            createBacklog();
         }
         if (list.version() > 0) {
             becomeReady();
@@ -162,30 +165,30 @@
         watch.begin();
     }
 
-    private ControlUplink.Transfer download(final long bytes, final ControlUplink.Completion completion) {
+    private ControlUplink.Transfer requestTransfer(final long bytes, final ControlUplink.Completion completion) {
         final ControlUplink.Transfer transfer =
                 new ControlUplink.Transfer(events.nowUs(), index, region(), bytes, completion);
         transfers.add(transfer);
         return transfer;
     }
 
-    /** The transfers that were requested since this was last asked. */
+    /** Returns the transfers requested since the last call. */
     List<ControlUplink.Transfer> takeTransfers() {
-        final List<ControlUplink.Transfer> taken = List.copyOf(transfers);
+        final List<ControlUplink.Transfer> result = List.copyOf(transfers);
         transfers.clear();
-        return taken;
+        return result;
     }
 
-    /** The control machines can be reached again: what was told meanwhile counts from now. */
-    void controlReachable() {
-        controlSinceUs = events.nowUs();
+    /** Records that the control machines are reachable again; the time until missed changes are in force starts now. */
+    void onControlReachable() {
+        controlReachableSinceUs = events.nowUs();
     }
 
-    /** Kills the process, and another one starts in its place with an empty folder. */
-    void replace() {
+    /** Kills the process; the next one starts with an empty folder. */
+    void replaceWithEmptyFolder() {
         if (running) {
             restart();
-            messages.loseAll();
+            messages.discardAll();
             emptyFolder = true;
             if (listFolder != null) {
                 deleteStoredList();
@@ -197,22 +200,22 @@
         try {
             CourierList.deleteIn(listFolder);
         } catch (final IOException e) {
-            throw new UncheckedIOException("the folder of courier " + index + " cannot be emptied", e);
+            throw new UncheckedIOException("cannot empty the list folder of courier " + index, e);
         }
     }
 
-    /** Kills the process; the next one starts after a while and finds what the journal and the stored list hold. */
+    /** Kills the process; the next one starts after a delay with the journaled messages and the stored list. */
     void restart() {
         if (!running) {
             return;
         }
         running = false;
         ready = false;
-        process++;
+        processNumber++;
         watch.close();
-        figures.lanesVisited += control.workload().routesVisited();
+        figures.routesVisited += control.workload().routesVisited();
         control = null;
-        messages.cutOffCalls();
+        messages.abortCalls();
         events.after(parameters.model().downMs() * Units.US_PER_MS, this::startProcess);
     }
 
@@ -220,22 +223,22 @@
         return running;
     }
 
-    private void inThisProcess(final long delayUs, final Runnable action) {
-        final int own = process;
+    private void afterInThisProcess(final long delayUs, final Runnable action) {
+        final int expectedProcess = processNumber;
         events.after(delayUs, () -> {
-            if (own == process) {
+            if (expectedProcess == processNumber) {
                 action.run();
             }
         });
     }
 
-    /** The list is in force for the first time: what was held goes on, and messages are taken. */
+    /** The list is in force for the first time: resumes the open messages and begins to accept new ones. */
     private void becomeReady() {
         ready = true;
         readyAtUs = events.nowUs();
-        figures.readyUs(process == 1, events.nowUs() - processStartUs);
+        figures.recordReady(processNumber == 1, events.nowUs() - processStartUs);
         for (final OpenMessage message : messages.all()) {
-            control.onMessageResumed(events.nowUs(), message.message, message.past());
+            control.onMessageResumed(events.nowUs(), message.message, message.history());
         }
         decideOnEvent();
         scheduleArrival();
@@ -247,29 +250,29 @@
         return watch;
     }
 
-    private void onLine(final byte[] line) {
+    private void onListLine(final byte[] line) {
         final long before = list.version();
         final List<Courier.Endpoint> changed = readList(line);
-        final long fromNs = System.nanoTime();
+        final long startNs = System.nanoTime();
         control.onListUpdate(events.nowUs(), Courier.ListUpdate.INCREMENTAL, changed);
-        figures.processor.applyNs += System.nanoTime() - fromNs;
+        figures.processor.applyNs += System.nanoTime() - startNs;
         if (ready) {
             decideOnEvent();
         } else {
             becomeReady();
         }
-        final long reachableUs = Math.max(processStartUs, controlSinceUs);
-        figures.inForce(discovery.madeBetween(before, list.version()), reachableUs, events.nowUs());
+        final long reachableUs = Math.max(processStartUs, controlReachableSinceUs);
+        figures.recordInForce(discovery.versionTimesBetween(before, list.version()), reachableUs, events.nowUs());
     }
 
     private List<Courier.Endpoint> readList(final byte[] line) {
-        final long fromNs = ProcessorTime.threadNs();
+        final long startNs = ProcessorTime.threadNs();
         try {
-            return list.feed(line);
+            return list.apply(line);
         } catch (final IOException e) {
-            throw new UncheckedIOException("courier " + index + " cannot read its list", e);
+            throw new UncheckedIOException("cannot apply a line of the list at courier " + index, e);
         } finally {
-            figures.processor.countList(ProcessorTime.threadNs() - fromNs);
+            figures.processor.countList(ProcessorTime.threadNs() - startNs);
         }
     }
 
@@ -277,43 +280,43 @@
         return list.version();
     }
 
-    int listed() {
+    int listedEndpoints() {
         return list.size();
     }
 
-    /** Heap that the list takes. */
+    /** Heap used by the list. */
     long listBytes() {
-        return list.bytes();
+        return list.heapBytes();
     }
 
     // ---------------------------------------------------------------- messages
 
-    private void makeBacklog() {
+    private void createBacklog() {
         for (int number = 0; number < parameters.backlogPerCourier(); number++) {
-            messages.take(events.nowUs());
+            messages.accept(events.nowUs());
         }
     }
 
     private void scheduleArrival() {
-        final double perSecond = parameters.eventsPerSecondAndCourier();
+        final double perSecond = parameters.eventsPerSecondPerCourier();
         if (perSecond > 0) {
-            final double gapSeconds = -Math.log(1 - traffic.nextDouble()) / perSecond;
-            inThisProcess(Units.us(gapSeconds), this::arrive);
+            final double gapSeconds = -Math.log(1 - trafficRandom.nextDouble()) / perSecond;
+            afterInThisProcess(Units.fromSeconds(gapSeconds), this::onArrival);
         }
     }
 
-    private void arrive() {
+    private void onArrival() {
         if (events.nowUs() >= arrivalsEndUs) {
             return;
         }
-        final OpenMessage taken = messages.take(events.nowUs());
-        control.onMessage(events.nowUs(), taken.message);
+        final OpenMessage accepted = messages.accept(events.nowUs());
+        control.onMessage(events.nowUs(), accepted.message);
         decideOnEvent();
         scheduleArrival();
     }
 
-    /** Messages without an end whose time is over. */
-    long overdue() {
+    /** Open messages whose deadline has passed. */
+    long overdueMessages() {
         return messages.overdue(events.nowUs());
     }
 
@@ -321,42 +324,42 @@
         return messages.size();
     }
 
-    /** Destinations that this courier has had a message for. */
-    int destinationsContacted() {
-        return messages.destinationsContacted();
+    /** Number of destinations that this courier has had a message for. */
+    int usedDestinations() {
+        return messages.usedDestinations();
     }
 
-    private void end(final String messageId, final Runnable count) {
+    private void endMessage(final String messageId, final Runnable count) {
         messages.end(messageId, events.nowUs(), readyAtUs, count);
     }
 
     // ---------------------------------------------------------------- decisions
 
     private void decideOnEvent() {
-        final long fromNs = System.nanoTime();
+        final long startNs = System.nanoTime();
         control.decide(events.nowUs());
-        figures.processor.eventDecisionsNs += System.nanoTime() - fromNs;
+        figures.processor.eventDecisionsNs += System.nanoTime() - startNs;
         figures.processor.eventDecisions++;
     }
 
-    private void decideOnWake() {
-        final long fromNs = System.nanoTime();
+    private void decideOnTimer() {
+        final long startNs = System.nanoTime();
         control.decide(events.nowUs());
-        figures.processor.wakeDecisionsNs += System.nanoTime() - fromNs;
-        figures.processor.wakeDecisions++;
+        figures.processor.timerDecisionsNs += System.nanoTime() - startNs;
+        figures.processor.timerDecisions++;
     }
 
     @Override
     public void send(final String messageId, final long endpoint, final long timeoutUs) {
         final OpenMessage sent = messages.find(messageId);
         sent.attempts++;
-        sent.callOut = true;
+        sent.callInFlight = true;
         sent.callSentUs = events.nowUs();
         figures.messages.attempts++;
         calls.add(new AttemptCall(
                 events.nowUs(),
                 index,
-                callsMade++,
+                callsSent++,
                 sent,
                 sent.attempts,
                 sent.message.destination(),
@@ -365,85 +368,85 @@
                 timeoutUs));
     }
 
-    /** The calls since this was last asked. */
+    /** Returns the calls sent since the last call of this method. */
     List<AttemptCall> takeCalls() {
-        final List<AttemptCall> taken = List.copyOf(calls);
+        final List<AttemptCall> result = List.copyOf(calls);
         calls.clear();
-        return taken;
+        return result;
     }
 
-    /** A destination's answer, or silence; a call that takes longer than it may is ended here. */
-    void answered(final AttemptCall call, final Destinations.Answer answer) {
+    /** Schedules the result of a call; an answer after the timeout of the call becomes a timeout. */
+    void onAnswer(final AttemptCall call, final Destinations.Answer answer) {
         final boolean inTime = answer.delayUs() < call.timeoutUs();
-        final Courier.Result heard = inTime ? answer.result() : Courier.Result.TIMED_OUT;
+        final Courier.Result outcome = inTime ? answer.result() : Courier.Result.TIMED_OUT;
         final long atUs =
-                call.atUs() + Math.min(answer.delayUs(), Math.max(call.timeoutUs(), Destinations.LEAST_ANSWER_US));
-        final int own = process;
+                call.sentUs() + Math.min(answer.delayUs(), Math.max(call.timeoutUs(), Destinations.MIN_ANSWER_US));
+        final int expectedProcess = processNumber;
         events.at(atUs, () -> {
-            final boolean heardHere = own == process && isOut(call);
-            if (answer.result() == Courier.Result.DELIVERED && !(heardHere && heard == Courier.Result.DELIVERED)) {
-                figures.messages.deliveriesUnheard++;
+            final boolean received = expectedProcess == processNumber && isInFlight(call);
+            if (answer.result() == Courier.Result.DELIVERED && !(received && outcome == Courier.Result.DELIVERED)) {
+                figures.messages.unconfirmedDeliveries++;
             }
-            if (heardHere) {
-                tell(call, heard);
+            if (received) {
+                reportOutcome(call, outcome);
             }
         });
     }
 
-    private boolean isOut(final AttemptCall call) {
-        return call.message().callOut && call.message().attempts == call.attempt();
+    private boolean isInFlight(final AttemptCall call) {
+        return call.message().callInFlight && call.message().attempts == call.attempt();
     }
 
-    private void tell(final AttemptCall call, final Courier.Result result) {
+    private void reportOutcome(final AttemptCall call, final Courier.Result result) {
         final OpenMessage message = call.message();
         final String id = message.message.id();
-        message.callOut = false;
+        message.callInFlight = false;
         final boolean delivered = result == Courier.Result.DELIVERED;
         if (!result.hadNoEffect()) {
-            message.mayHaveRunSince(call.atUs());
+            message.recordPossibleEffect(call.sentUs());
         }
         if (delivered) {
-            end(id, () -> figures.messages.delivered++);
+            endMessage(id, () -> figures.messages.delivered++);
         }
         control.onOutcome(
                 events.nowUs(),
-                new Courier.Outcome(id, result, delivered, call.endpoint(), events.nowUs() - call.atUs(), 0, null));
+                new Courier.Outcome(id, result, delivered, call.endpoint(), events.nowUs() - call.sentUs(), 0, null));
         decideOnEvent();
     }
 
     @Override
     public void refuse(final String messageId, final long retryAfterUs) {
-        final OpenMessage refused = messages.find(messageId);
-        final boolean givenUp = refused != null && refused.message.validUntilUs() - events.nowUs() < GIVEN_UP_WITHIN_US;
-        end(messageId, () -> {
-            figures.messages.refused++;
-            figures.messages.givenUp += givenUp ? 1 : 0;
+        final OpenMessage rejected = messages.find(messageId);
+        final boolean expired = rejected != null && rejected.message.validUntilUs() - events.nowUs() < EXPIRY_MARGIN_US;
+        endMessage(messageId, () -> {
+            figures.messages.rejected++;
+            figures.messages.expired += expired ? 1 : 0;
         });
     }
 
     @Override
     public void fail(final String messageId) {
-        end(messageId, () -> figures.messages.failed++);
+        endMessage(messageId, () -> figures.messages.failed++);
     }
 
     @Override
     public void cancel(final String messageId, final int attempt) {
         final OpenMessage cancelled = messages.find(messageId);
-        if (cancelled == null || !cancelled.callOut) {
+        if (cancelled == null || !cancelled.callInFlight) {
             return;
         }
         final int number = cancelled.attempts;
         final long sentUs = cancelled.callSentUs;
-        inThisProcess(0, () -> {
-            if (cancelled.callOut && cancelled.attempts == number) {
-                cancelled.callOut = false;
-                cancelled.mayHaveRunSince(sentUs);
-                tellCancelled(messageId, sentUs);
+        afterInThisProcess(0, () -> {
+            if (cancelled.callInFlight && cancelled.attempts == number) {
+                cancelled.callInFlight = false;
+                cancelled.recordPossibleEffect(sentUs);
+                reportCancelled(messageId, sentUs);
             }
         });
     }
 
-    private void tellCancelled(final String messageId, final long sentUs) {
+    private void reportCancelled(final String messageId, final long sentUs) {
         control.onOutcome(
                 events.nowUs(),
                 new Courier.Outcome(messageId, Courier.Result.CANCELLED, false, 0, events.nowUs() - sentUs, 0, null));
@@ -457,33 +460,33 @@
 
     @Override
     public void subscribeToList() {
-        // The list is pushed: the watch is kept from the start.
+        // The list is pushed: the watch begins when the process starts.
     }
 
     @Override
     public void wakeAfter(final long delayUs) {
-        inThisProcess(delayUs, this::decideOnWake);
+        afterInThisProcess(delayUs, this::decideOnTimer);
     }
 
-    /** Destinations that the decisions hold state for. */
+    /** Number of destinations that the decisions keep state for. */
     int destinationsWithState() {
         return control == null ? 0 : control.workload().destinationsWithState();
     }
 
-    /** Lanes that the steps of all processes have visited. */
-    long lanesVisited() {
-        return figures.lanesVisited + (control == null ? 0 : control.workload().routesVisited());
+    /** Routes that the decisions of all processes have visited. */
+    long routesVisited() {
+        return figures.routesVisited + (control == null ? 0 : control.workload().routesVisited());
     }
 
     // ---------------------------------------------------------------- stepping
 
-    /** Lets time pass until then. */
+    /** Simulates this courier until this time. */
     void runUntil(final long untilUs) {
         events.runUntil(untilUs);
     }
 
-    /** Adds something that happens to this courier. */
-    void at(final long atUs, final Runnable action) {
+    /** Schedules an action on this courier. */
+    void scheduleAt(final long atUs, final Runnable action) {
         events.at(atUs, action);
     }
 }
--- a/src/main/java/railspar/scale/fleet/Units.java
+++ b/src/main/java/railspar/scale/fleet/Units.java
@@ -9,7 +9,7 @@
     private Units() {}
 
     /** Seconds as microseconds. */
-    static long us(final double seconds) {
+    static long fromSeconds(final double seconds) {
         return Math.round(seconds * US_PER_SECOND);
     }
 }
--- a/src/test/java/railspar/scale/RunIndependenceTest.java
+++ b/src/test/java/railspar/scale/RunIndependenceTest.java
@@ -11,11 +11,11 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** What the courier loads never refers to the scale runs or to their libraries. */
+/** Verifies that no class of the courier refers to the scale tools or to their libraries. */
 final class RunIndependenceTest {
     private static final Path CLASSES = Path.of("target", "classes");
     private static final Path SCALE = CLASSES.resolve(Path.of("railspar", "scale"));
-    /** Names as they stand in a class file's constant pool. */
+    /** Prefixes of class names as they appear in the constant pool of a class file. */
     private static final List<String> FORBIDDEN = List.of("railspar/scale/", "picocli/", "org/HdrHistogram/");
 
     private static boolean refersTo(final Path classFile, final String name) throws IOException {
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void noClassOutsideTheScalePackagesNamesThemOrTheirLibraries() throws IOException {
+    void noClassOutsideTheScalePackagesRefersToThemOrTheirLibraries() throws IOException {
         int visited = 0;
         for (final Path file : classFiles()) {
             if (file.startsWith(SCALE)) {
@@ -40,11 +40,11 @@
                 assertFalse(refersTo(file, name), file + " refers to " + name);
             }
         }
-        assertTrue(visited > 20, "only " + visited + " class files were looked at");
+        assertTrue(visited > 20, "only " + visited + " class files were checked");
     }
 
     @Test
-    void theWalkSeesAReferenceWhereThereIsOne() throws IOException {
+    void searchFindsAnExistingReference() throws IOException {
         assertTrue(
                 refersTo(SCALE.resolve(Path.of("standin", "FleetPlan.class")), "railspar/scale/standin/EndpointEntry"));
     }
--- a/src/test/java/railspar/scale/ScaleCommandTest.java
+++ b/src/test/java/railspar/scale/ScaleCommandTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Exit codes of the command line, and the file that a run writes. */
+/** Tests the exit codes of the command line and the result file of a run. */
 final class ScaleCommandTest {
-    private static final int BAD_ARGUMENTS = 2;
+    private static final int INVALID_ARGUMENTS = 2;
 
     @ParameterizedTest
     @ValueSource(
@@ -49,8 +49,9 @@
                 "run --out /no/such/folder/result.json",
                 "run --unknown"
             })
-    void badArgumentsExitWithTwo(final String arguments) {
-        assertEquals(BAD_ARGUMENTS, ScaleCommand.execute(arguments.isEmpty() ? new String[0] : arguments.split(" ")));
+    void invalidArgumentsExitWithTwo(final String arguments) {
+        assertEquals(
+                INVALID_ARGUMENTS, ScaleCommand.execute(arguments.isEmpty() ? new String[0] : arguments.split(" ")));
     }
 
     @Test
@@ -59,7 +60,7 @@
     }
 
     @Test
-    void aRunWritesItsParametersFiguresAndSums(@TempDir final Path folder) throws IOException {
+    void runWritesItsParametersFiguresAndChecks(@TempDir final Path folder) throws IOException {
         final Path file = folder.resolve("result.json");
         final int exitCode = ScaleCommand.execute(
                 "run",
