--- a/src/main/java/railspar/scale/real/BacklogFiller.java
+++ b/src/main/java/railspar/scale/real/BacklogFiller.java
@@ -18,51 +18,51 @@
 import railspar.scale.standin.SubmissionResponse;
 
 /**
- * Hands a number of messages in as fast as a number of clients can, each message once. It ends early when no answer has
- * come for some time, or when it has taken too long as a whole.
+ * Submits a fixed number of messages, each once, as fast as a fixed number of clients can. It stops early when no
+ * response has arrived for some time, or when the total time limit is reached.
  */
 final class BacklogFiller {
-    private static final int DIGITS = 3;
+    private static final int SIGNIFICANT_DIGITS = 3;
     private static final double NS_PER_MS = 1_000_000;
     private static final double NS_PER_SECOND = 1_000_000_000;
-    private static final long TIMEOUT_MS = TimeUnit.DAYS.toMillis(1);
+    private static final long MESSAGE_TIMEOUT_MS = TimeUnit.DAYS.toMillis(1);
 
     private final InetSocketAddress courier;
     private final int destinations;
     private final byte[] body;
     private final int messages;
-    private final Duration giveUp;
-    private final Duration longest;
-    private final AtomicInteger next = new AtomicInteger();
-    private final AtomicLong answeredNs = new AtomicLong();
-    private volatile long beginNs;
+    private final Duration responseTimeout;
+    private final Duration totalTimeout;
+    private final AtomicInteger nextIndex = new AtomicInteger();
+    private final AtomicLong lastResponseNs = new AtomicLong();
+    private volatile long startNs;
 
     BacklogFiller(
             final InetSocketAddress courier,
             final int destinations,
             final int bodyBytes,
             final int messages,
-            final Duration giveUp,
-            final Duration longest) {
+            final Duration responseTimeout,
+            final Duration totalTimeout) {
         this.courier = courier;
         this.destinations = destinations;
         this.body = new byte[bodyBytes];
         Arrays.fill(body, (byte) 'x');
         this.messages = messages;
-        this.giveUp = giveUp;
-        this.longest = longest;
+        this.responseTimeout = responseTimeout;
+        this.totalTimeout = totalTimeout;
     }
 
-    /** What one client saw. */
-    private static final class Tally {
+    /** Response counts and latencies of one client. */
+    private static final class ClientTally {
         private final int[] counts = new int[SubmissionResponse.Result.values().length];
-        private final Histogram latencies = new Histogram(DIGITS);
+        private final Histogram latencies = new Histogram(SIGNIFICANT_DIGITS);
 
         private int count(final SubmissionResponse.Result result) {
             return counts[result.ordinal()];
         }
 
-        private void add(final Tally other) {
+        private void add(final ClientTally other) {
             for (int index = 0; index < counts.length; index++) {
                 counts[index] += other.counts[index];
             }
@@ -72,55 +72,55 @@
 
     BacklogSlopeResult.HandInCounts fill(final int clients) throws InterruptedException, ExecutionException {
         final ExecutorService threads = Executors.newFixedThreadPool(clients);
-        beginNs = System.nanoTime();
-        answeredNs.set(beginNs);
-        final Tally total = new Tally();
+        startNs = System.nanoTime();
+        lastResponseNs.set(startNs);
+        final ClientTally total = new ClientTally();
         try {
-            final List<Future<Tally>> running = new ArrayList<>();
+            final List<Future<ClientTally>> clientResults = new ArrayList<>();
             for (int count = 0; count < clients; count++) {
-                running.add(threads.submit(this::client));
+                clientResults.add(threads.submit(this::runClient));
             }
-            for (final Future<Tally> one : running) {
-                total.add(one.get());
+            for (final Future<ClientTally> result : clientResults) {
+                total.add(result.get());
             }
         } finally {
             threads.shutdownNow();
         }
-        final int handedIn = Arrays.stream(total.counts).sum();
+        final int submitted = Arrays.stream(total.counts).sum();
         return new BacklogSlopeResult.HandInCounts(
                 total.count(SubmissionResponse.Result.ACCEPTED),
                 total.count(SubmissionResponse.Result.REJECTED),
                 total.count(SubmissionResponse.Result.FAILED),
                 total.count(SubmissionResponse.Result.NO_RESPONSE),
-                messages - handedIn,
-                (answeredNs.get() - beginNs) / NS_PER_SECOND,
+                messages - submitted,
+                (lastResponseNs.get() - startNs) / NS_PER_SECOND,
                 total.latencies.getValueAtPercentile(50) / NS_PER_MS,
                 total.latencies.getValueAtPercentile(99) / NS_PER_MS,
                 total.latencies.getMaxValue() / NS_PER_MS);
     }
 
-    private Tally client() {
-        final Tally tally = new Tally();
+    private ClientTally runClient() {
+        final ClientTally tally = new ClientTally();
         try (ClientConnection connection = new ClientConnection(courier)) {
-            for (int index = next.getAndIncrement();
-                    index < messages && isWorthwhile();
-                    index = next.getAndIncrement()) {
+            for (int index = nextIndex.getAndIncrement();
+                    index < messages && shouldContinue();
+                    index = nextIndex.getAndIncrement()) {
                 final long sentNs = System.nanoTime();
-                final SubmissionResponse answer = connection.submit(message(index));
-                tally.counts[answer.result().ordinal()]++;
-                if (answer.result() != SubmissionResponse.Result.NO_RESPONSE) {
+                final SubmissionResponse response = connection.submit(message(index));
+                tally.counts[response.result().ordinal()]++;
+                if (response.result() != SubmissionResponse.Result.NO_RESPONSE) {
                     final long nowNs = System.nanoTime();
                     tally.latencies.recordValue(nowNs - sentNs);
-                    answeredNs.accumulateAndGet(nowNs, Math::max);
+                    lastResponseNs.accumulateAndGet(nowNs, Math::max);
                 }
             }
         }
         return tally;
     }
 
-    private boolean isWorthwhile() {
+    private boolean shouldContinue() {
         final long nowNs = System.nanoTime();
-        return nowNs - answeredNs.get() < giveUp.toNanos() && nowNs - beginNs < longest.toNanos();
+        return nowNs - lastResponseNs.get() < responseTimeout.toNanos() && nowNs - startNs < totalTimeout.toNanos();
     }
 
     private ClientMessage message(final int index) {
@@ -128,7 +128,7 @@
                 String.format("%016x", index),
                 CourierConfiguration.SAFE_CLASS,
                 null,
-                TIMEOUT_MS,
+                MESSAGE_TIMEOUT_MS,
                 index % destinations,
                 body);
     }
--- a/src/main/java/railspar/scale/real/BacklogSlopeCommand.java
+++ b/src/main/java/railspar/scale/real/BacklogSlopeCommand.java
@@ -20,17 +20,17 @@
 import railspar.scale.standin.ListHistory;
 import railspar.scale.standin.LoopbackPorts;
 
-/** Measures what a backlog costs one real courier, at several sizes of the backlog. */
+/** Measures event a backlog costs one real courier, at several sizes of the backlog. */
 @Command(
         name = "real-backlog",
         mixinStandardHelpOptions = true,
-        description = "Starts one real courier for each size, hands in messages for destinations that refuse"
-                + " connections, and measures memory, journal and the start after a SIGKILL.")
+        description = "Starts one real courier for each size, submits messages for destinations that refuse"
+                + " connections, and measures memory, journal size and the restart after a SIGKILL.")
 public final class BacklogSlopeCommand implements Callable<Integer> {
     private static final Duration READY_TIMEOUT = Duration.ofSeconds(60);
-    private static final Duration GIVE_UP = Duration.ofSeconds(10);
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(10);
     private static final Duration SETTLE = Duration.ofSeconds(2);
-    private static final Duration PROCESSOR_SPAN = Duration.ofSeconds(5);
+    private static final Duration PROCESSOR_TIME_PERIOD = Duration.ofSeconds(5);
     private static final Duration RESTART_PAUSE = Duration.ofMillis(600);
     private static final int DISK_MB = 4096;
     private static final int MAX_OPEN = 100_000_000;
@@ -62,16 +62,20 @@
     @Option(
             names = "--clients",
             defaultValue = "16",
-            description = "clients that hand messages in (default: ${DEFAULT-VALUE})")
+            description = "clients that submit messages (default: ${DEFAULT-VALUE})")
     private int clients;
 
-    @Option(names = "--body-bytes", defaultValue = "212", description = "size of a message (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--body-bytes",
+            defaultValue = "212",
+            description = "size of a message body (default: ${DEFAULT-VALUE})")
     private int bodyBytes;
 
     @Option(
             names = "--fill-timeout-seconds",
             defaultValue = "120",
-            description = "messages of a size that are not handed in by then stay out (default: ${DEFAULT-VALUE})")
+            description = "time limit for submitting the messages of one size; the rest is not submitted"
+                    + " (default: ${DEFAULT-VALUE})")
     private int fillTimeoutSeconds;
 
     /** Runs this command alone. */
@@ -82,12 +86,12 @@
     @Override
     public Integer call() throws IOException, InterruptedException, ExecutionException {
         options.check(spec);
-        CourierOptions.atLeast(spec, "--destinations", destinations, 1);
-        CourierOptions.atLeast(spec, "--clients", clients, 1);
-        CourierOptions.atLeast(spec, "--body-bytes", bodyBytes, 0);
-        CourierOptions.atLeast(spec, "--fill-timeout-seconds", fillTimeoutSeconds, 1);
+        CourierOptions.requireAtLeast(spec, "--destinations", destinations, 1);
+        CourierOptions.requireAtLeast(spec, "--clients", clients, 1);
+        CourierOptions.requireAtLeast(spec, "--body-bytes", bodyBytes, 0);
+        CourierOptions.requireAtLeast(spec, "--fill-timeout-seconds", fillTimeoutSeconds, 1);
         for (final int size : messages) {
-            CourierOptions.atLeast(spec, "--messages", size, 1);
+            CourierOptions.requireAtLeast(spec, "--messages", size, 1);
         }
         final List<BacklogSlopeResult.Row> rows = new ArrayList<>();
         for (final int size : messages) {
@@ -99,7 +103,7 @@
         return CommandLine.ExitCode.OK;
     }
 
-    /** After each size, so that a run that is cut short leaves what it has measured. */
+    /** Called after each size, so that an interrupted run keeps the results measured so far. */
     private void save(final List<BacklogSlopeResult.Row> rows) throws IOException {
         if (options.output() != null) {
             ResultFile.write(
@@ -114,16 +118,16 @@
         }
     }
 
-    private void progress(final int size, final String what) {
-        spec.commandLine().getErr().println(spec.name() + ": " + size + " messages: " + what);
+    private void progress(final int size, final String event) {
+        spec.commandLine().getErr().println(spec.name() + ": " + size + " messages: " + event);
     }
 
     private BacklogSlopeResult.Row measure(final int size)
             throws IOException, InterruptedException, ExecutionException {
-        try (Socket closed = LoopbackPorts.bindRefusingSocket()) {
-            final InetSocketAddress dial = (InetSocketAddress) closed.getLocalSocketAddress();
+        try (Socket refusing = LoopbackPorts.bindRefusingSocket()) {
+            final InetSocketAddress refusingAddress = (InetSocketAddress) refusing.getLocalSocketAddress();
             final FleetPlan plan = new FleetPlan(1, destinations, ENDPOINTS_PER_DESTINATION, 1, 1, 1, options.seed());
-            try (DiscoveryServer discovery = new DiscoveryServer(new ListHistory(plan.endpoints(dial)));
+            try (DiscoveryServer discovery = new DiscoveryServer(new ListHistory(plan.endpoints(refusingAddress)));
                     RealCourier courier = options.courier("real-backlog", options.configuration(discovery, limits()))) {
                 return measure(size, plan, discovery, courier);
             }
@@ -136,23 +140,24 @@
         courier.start();
         if (courier.awaitReady(READY_TIMEOUT).isEmpty()
                 || courier.awaitDiscovered(plan.endpointCount(), READY_TIMEOUT).isEmpty()) {
-            throw new IOException("the courier did not become ready; its log: " + courier.logFile());
+            throw new IOException("the courier did not become ready with its whole endpoint list in time; see its log: "
+                    + courier.logFile());
         }
         final BacklogSlopeResult.HandInCounts handIn = new BacklogFiller(
                         courier.address(),
                         destinations,
                         bodyBytes,
                         size,
-                        GIVE_UP,
+                        RESPONSE_TIMEOUT,
                         Duration.ofSeconds(fillTimeoutSeconds))
                 .fill(clients);
-        progress(size, "taken on " + handIn.takenOn() + ", refused " + handIn.refused());
+        progress(size, "accepted " + handIn.takenOn() + ", rejected " + handIn.refused());
         Thread.sleep(SETTLE.toMillis());
         final Optional<ProcessSample> before = sample(courier);
-        Thread.sleep(PROCESSOR_SPAN.toMillis());
+        Thread.sleep(PROCESSOR_TIME_PERIOD.toMillis());
         final Optional<ProcessSample> after = sample(courier);
         final long outstanding = outstanding(courier);
-        final boolean outOfMemory = outOfMemory(courier);
+        final boolean outOfMemory = ranOutOfMemory(courier);
         final boolean alive = courier.isAlive();
         courier.kill();
         final long journalBytes = courier.stateBytes();
@@ -160,7 +165,9 @@
         Thread.sleep(RESTART_PAUSE.toMillis());
         courier.start();
         final Optional<Duration> ready = courier.awaitReady(READY_TIMEOUT);
-        progress(size, "ready after the kill: " + ready.map(Duration::toString).orElse("never"));
+        progress(
+                size,
+                "ready after the restart: " + ready.map(Duration::toString).orElse("never"));
         return new BacklogSlopeResult.Row(
                 size,
                 handIn,
@@ -174,7 +181,7 @@
                 alive,
                 ready.map(length -> length.toNanos() / NS_PER_SECOND).orElse(null),
                 outstanding(courier),
-                outOfMemory(courier),
+                ranOutOfMemory(courier),
                 courier.isAlive());
     }
 
@@ -190,12 +197,12 @@
         try {
             return courier.management().outstanding();
         } catch (final IOException e) {
-            // A process that has ended, or is deaf.
+            // The process has ended or does not answer.
             return -1;
         }
     }
 
-    private static boolean outOfMemory(final RealCourier courier) throws IOException {
+    private static boolean ranOutOfMemory(final RealCourier courier) throws IOException {
         return courier.logSinceStart().stream().anyMatch(line -> line.contains(OUT_OF_MEMORY));
     }
 
--- a/src/main/java/railspar/scale/real/BacklogSlopeResult.java
+++ b/src/main/java/railspar/scale/real/BacklogSlopeResult.java
@@ -3,33 +3,33 @@
 import java.util.List;
 
 /**
- * What a backlog of each size costs one real courier.
+ * Costs of one real courier at each size of its backlog.
  *
- * @param memoryMb the limit on memory that its configuration stated
+ * @param memoryMb the memory limit in its configuration
  * @param destinations destinations, all of which refuse connections
- * @param clients clients that hand messages in
- * @param bodyBytes size of a message
- * @param processors processors of the machine
- * @param rows one for each size
+ * @param clients clients that submit messages
+ * @param bodyBytes size of a message body
+ * @param processors number of processors of the machine
+ * @param rows one row for each size
  */
 record BacklogSlopeResult(int memoryMb, int destinations, int clients, int bodyBytes, int processors, List<Row> rows) {
     /**
-     * One size. A null stands for what never came.
+     * The figures of one size. A null means that the figure could not be measured.
      *
-     * @param messages messages that were to be handed in
-     * @param handIn how that went
+     * @param messages messages to be submitted
+     * @param handIn how they were answered
      * @param residentMb resident memory afterwards
-     * @param peakResidentMb the most that was resident until then
-     * @param processorShare share of a core used afterwards
-     * @param journalBytes size of the folder that lasts
-     * @param outstanding messages that it held afterwards, or -1 without an answer
-     * @param notices messages that it had ended by a notice until then
-     * @param outOfMemory true if its log tells of memory that ran out
+     * @param peakResidentMb peak resident memory until then
+     * @param processorShare share of a core used afterwards, while no message is submitted
+     * @param journalBytes size of the state folder
+     * @param outstanding open messages of the courier afterwards, or -1 if it did not answer
+     * @param notices notices received until then
+     * @param outOfMemory true if its log reports that it ran out of memory
      * @param alive true if its process was alive before the kill
-     * @param readyAfterKillSeconds until it was ready again on the same folder
-     * @param outstandingAfterKill messages that it held then, or -1 without an answer
-     * @param outOfMemoryAfterKill true if its log then tells of memory that ran out
-     * @param aliveAfterKill true if its second process was alive at the end
+     * @param readyAfterKillSeconds time from the restart on the same folder until it was ready
+     * @param outstandingAfterKill open messages after the restart, or -1 if it did not answer
+     * @param outOfMemoryAfterKill true if its log after the restart reports that it ran out of memory
+     * @param aliveAfterKill true if the restarted process was alive at the end
      */
     record Row(
             int messages,
@@ -50,15 +50,15 @@
     /**
      * How the messages of one size were answered.
      *
-     * @param takenOn taken on
-     * @param refused refused with 429 or 503
-     * @param failed answered otherwise
-     * @param noAnswer without an answer in time
-     * @param notHandedIn not handed in any more, as no answers came
-     * @param seconds from the first to the last
-     * @param p50Ms median time of an answer
-     * @param p99Ms 99th percentile of it
-     * @param worstMs longest of them
+     * @param takenOn accepted
+     * @param refused rejected with 429 or 503
+     * @param failed answered with any other status
+     * @param noAnswer not answered in time
+     * @param notHandedIn not submitted, because responses stopped or the time limit was reached
+     * @param seconds time from the start to the last response
+     * @param p50Ms median response time
+     * @param p99Ms 99th percentile of the response time
+     * @param worstMs longest response time
      */
     record HandInCounts(
             int takenOn,
@@ -70,7 +70,7 @@
             double p50Ms,
             double p99Ms,
             double worstMs) {
-        /** Elapsed time for each message that was taken on, or null if there is none. */
+        /** Elapsed time for each accepted message, or null if none was accepted. */
         Double millisEach() {
             return takenOn == 0 ? null : (Double) (seconds * 1000 / takenOn);
         }
--- a/src/main/java/railspar/scale/real/ChangeScheduleCommand.java
+++ b/src/main/java/railspar/scale/real/ChangeScheduleCommand.java
@@ -22,26 +22,26 @@
 import railspar.scale.standin.LoopbackPorts;
 
 /**
- * Measures one real courier while its list changes at a steady pace, in real time; the defaults are the target's list
- * and an hour of its changes.
+ * Measures one real courier in real time while its endpoint list changes at a constant rate. The defaults are the
+ * target's list and one hour of its changes.
  */
 @Command(
         name = "real-changes",
         mixinStandardHelpOptions = true,
         description =
-                "Starts one real courier before a list that changes at a steady pace, and measures processor time,"
-                        + " memory, traffic with discovery, and the time until each change is in force.")
+                "Starts one real courier with a list that changes at a constant rate, and measures processor time,"
+                        + " memory, traffic with discovery, and the time until each change is applied.")
 public final class ChangeScheduleCommand implements Callable<Integer> {
     private static final Duration START_TIMEOUT = Duration.ofSeconds(60);
-    /** What the platform allows until a change is in force. */
-    private static final Duration IN_FORCE_TIMEOUT = Duration.ofSeconds(14);
-    /** Between the list coming into force and the first change, for what a start leaves behind. */
+    /** The time that the platform allows until a change is applied. */
+    private static final Duration APPLY_TIMEOUT = Duration.ofSeconds(14);
+    /** Pause between applying the list and the first change, so that work left over from the start can finish. */
     private static final Duration SETTLE = Duration.ofSeconds(3);
 
     private static final Duration MINUTE = Duration.ofMinutes(1);
     private static final int SIGNIFICANT_DIGITS = 3;
-    private static final double MEDIAN = 50;
-    private static final double NINETY_NINTH = 99;
+    private static final double PERCENTILE_50 = 50;
+    private static final double PERCENTILE_99 = 99;
     private static final double BYTES_PER_MB = 1_000_000;
     private static final double NS_PER_SECOND = 1_000_000_000;
 
@@ -54,7 +54,10 @@
     @Mixin
     private ListOptions listOptions;
 
-    @Option(names = "--destinations", defaultValue = "45000", description = "size (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--destinations",
+            defaultValue = "45000",
+            description = "destinations in the list (default: ${DEFAULT-VALUE})")
     private int destinations;
 
     @Option(
@@ -93,10 +96,10 @@
 
     private void check() {
         options.check(spec);
-        CourierOptions.atLeast(spec, "--changes", changes, 1);
+        CourierOptions.requireAtLeast(spec, "--changes", changes, 1);
         if (!(secondsBetweenChanges > 0)) {
             throw new ParameterException(
-                    spec.commandLine(), "--seconds-between-changes is above 0, not " + secondsBetweenChanges);
+                    spec.commandLine(), "--seconds-between-changes must be above 0, not " + secondsBetweenChanges);
         }
         listOptions.check(spec, destinations);
     }
@@ -110,7 +113,7 @@
         private final ListHistory history;
         private final DiscoveryServer discovery;
         private final RealCourier courier;
-        private final Histogram inForceNs = new Histogram(SIGNIFICANT_DIGITS);
+        private final Histogram appliedNs = new Histogram(SIGNIFICANT_DIGITS);
         private final List<Traffic> traffic = new ArrayList<>();
 
         Measurement(
@@ -128,13 +131,13 @@
             courier.start();
             final double ready = seconds(courier.awaitReady(START_TIMEOUT)
                     .orElseThrow(() -> new IOException("the courier was not ready in time")));
-            final double listed = seconds(courier.awaitDiscovered(list.size(), START_TIMEOUT)
-                    .orElseThrow(() -> new IOException("the list was not in force in time")));
-            progress("ready, list in force");
+            final double listApplied = seconds(courier.awaitDiscovered(list.size(), START_TIMEOUT)
+                    .orElseThrow(() -> new IOException("the courier did not apply the whole list in time")));
+            progress("ready, list applied");
             LockSupport.parkNanos(SETTLE.toNanos());
-            final int firstLists = wholeLists();
+            final int wholeListsBefore = wholeLists();
             final ProcessSample before = courier.sample();
-            final int inForce = tellChanges();
+            final int applied = publishChanges();
             final ProcessSample after = courier.sample();
             return new ChangeScheduleResult(
                     options.memoryMb(),
@@ -144,44 +147,44 @@
                     secondsBetweenChanges,
                     Runtime.getRuntime().availableProcessors(),
                     ready,
-                    listed,
+                    listApplied,
                     (after.atNs() - before.atNs()) / NS_PER_SECOND,
-                    inForce,
-                    inForceNs.getValueAtPercentile(MEDIAN) / NS_PER_SECOND,
-                    inForceNs.getValueAtPercentile(NINETY_NINTH) / NS_PER_SECOND,
-                    inForceNs.getMaxValue() / NS_PER_SECOND,
+                    applied,
+                    appliedNs.getValueAtPercentile(PERCENTILE_50) / NS_PER_SECOND,
+                    appliedNs.getValueAtPercentile(PERCENTILE_99) / NS_PER_SECOND,
+                    appliedNs.getMaxValue() / NS_PER_SECOND,
                     after.processorShareSince(before),
                     before.residentBytes() / BYTES_PER_MB,
                     after.residentBytes() / BYTES_PER_MB,
                     after.peakResidentBytes() / BYTES_PER_MB,
                     bytesPerSecond(traffic.get(0), traffic.get(traffic.size() - 1)),
-                    worstMinute(),
-                    wholeLists() - firstLists);
+                    worstMinuteBytesPerSecond(),
+                    wholeLists() - wholeListsBefore);
         }
 
-        /** Tells the changes at their pace; the result is how many came into force in time. */
-        private int tellChanges() throws IOException {
+        /** Publishes the changes at a constant rate; returns how many were applied in time. */
+        private int publishChanges() throws IOException {
             final long startNs = System.nanoTime();
-            int inForce = 0;
+            int applied = 0;
             countTraffic();
             for (int number = 0; number < changes; number++) {
-                inForce += isInForce(number) ? 1 : 0;
+                applied += isAppliedInTime(number) ? 1 : 0;
                 sleepUntil(startNs + (long) ((number + 1) * secondsBetweenChanges * NS_PER_SECOND));
                 countTraffic();
-                progress((number + 1) + " of " + changes + " changes, " + inForce + " in force");
+                progress((number + 1) + " of " + changes + " changes, " + applied + " applied");
             }
-            return inForce;
+            return applied;
         }
 
-        private boolean isInForce(final int number) throws IOException {
+        private boolean isAppliedInTime(final int number) throws IOException {
             final EndpointEntry entry = list.get(number / 2 % list.size());
             final EndpointEntry.Health health =
                     number % 2 == 0 ? EndpointEntry.Health.TERMINATING : EndpointEntry.Health.READY;
-            final long toldNs = System.nanoTime();
+            final long publishedNs = System.nanoTime();
             final long version = history.change(List.of(entry.withHealth(health)));
-            final boolean inForce = courier.awaitListVersion(version, IN_FORCE_TIMEOUT);
-            inForceNs.recordValue(System.nanoTime() - toldNs);
-            return inForce;
+            final boolean applied = courier.awaitListVersion(version, APPLY_TIMEOUT);
+            appliedNs.recordValue(System.nanoTime() - publishedNs);
+            return applied;
         }
 
         private void sleepUntil(final long untilNs) {
@@ -192,13 +195,16 @@
 
         private void countTraffic() {
             final long bytes = discovery.traffic().stream()
-                    .mapToLong(one -> one.bytesIn() + one.bytesOut())
+                    .mapToLong(connection -> connection.bytesIn() + connection.bytesOut())
                     .sum();
             traffic.add(new Traffic(System.nanoTime(), bytes));
         }
 
-        /** The most bytes a second between two counts that lie at least a minute apart, or all of them. */
-        private double worstMinute() {
+        /**
+         * The highest rate in bytes per second between two counts at least a minute apart, or the rate of the whole run
+         * if it is shorter than that.
+         */
+        private double worstMinuteBytesPerSecond() {
             double worst = 0;
             int from = 0;
             for (int to = 1; to < traffic.size(); to++) {
@@ -230,8 +236,8 @@
             return duration.toNanos() / NS_PER_SECOND;
         }
 
-        private void progress(final String what) {
-            spec.commandLine().getErr().println(spec.name() + ": " + what);
+        private void progress(final String event) {
+            spec.commandLine().getErr().println(spec.name() + ": " + event);
         }
     }
 }
--- a/src/main/java/railspar/scale/real/ChangeScheduleResult.java
+++ b/src/main/java/railspar/scale/real/ChangeScheduleResult.java
@@ -1,28 +1,29 @@
 package railspar.scale.real;
 
 /**
- * What a list that changes at a steady pace costs one real courier.
+ * Costs of one real courier while its endpoint list changes at a constant rate.
  *
- * @param memoryMb the limit on memory that its configuration stated
+ * @param memoryMb the memory limit in its configuration
  * @param destinations destinations in the list
  * @param endpoints endpoints in the list
- * @param changes changes that were told
+ * @param changes changes that discovery published
  * @param secondsBetweenChanges time between two of them
- * @param processors processors of the machine
- * @param readySeconds from the start until it answered that it is ready
- * @param listSeconds from the start until the whole list was in force
- * @param observedSeconds from the first change until after the last one
- * @param changesInForce how many of the changes came into force in the time that the platform allows
- * @param inForceP50Seconds time until a change was in force, median, read from the log every 20 ms
+ * @param processors number of processors of the machine
+ * @param readySeconds time from the start until it answered that it is ready
+ * @param listSeconds time from the start until the whole list was applied
+ * @param observedSeconds time from the first change until after the last one
+ * @param changesInForce how many of the changes were applied within the time that the platform allows
+ * @param inForceP50Seconds median time until a change was applied, read from the log every 20 ms
  * @param inForceP99Seconds the same, 99th percentile
  * @param inForceWorstSeconds the same, the slowest one
- * @param processorShare share of a core, all work of the process together
- * @param residentMbAtStart resident memory when the first change was told
+ * @param processorShare share of a core, for all work of the process
+ * @param residentMbAtStart resident memory before the first change
  * @param residentMbAtEnd resident memory at the end
- * @param peakResidentMb the most that was resident
- * @param controlBytesPerSecond bytes to and from discovery, HTTP included, a second
- * @param worstMinuteBytesPerSecond the same in the minute, or the time between two changes, with most of them
- * @param wholeLists whole lists that were begun after the first one
+ * @param peakResidentMb peak resident memory
+ * @param controlBytesPerSecond bytes per second to and from discovery, HTTP included
+ * @param worstMinuteBytesPerSecond the highest such rate over a minute, or over the time between two
+ *     changes if that is longer
+ * @param wholeLists whole lists that discovery began to send after the first one
  */
 record ChangeScheduleResult(
         int memoryMb,
@@ -45,7 +46,7 @@
         double controlBytesPerSecond,
         double worstMinuteBytesPerSecond,
         int wholeLists) {
-    /** The figures as lines of text. */
+    /** The figures as a text table. */
     String table() {
         final TextTable table = new TextTable("figure", "value");
         table.row("destinations, endpoints", destinations + ", " + endpoints);
--- a/src/main/java/railspar/scale/real/CourierConfiguration.java
+++ b/src/main/java/railspar/scale/real/CourierConfiguration.java
@@ -11,16 +11,16 @@
 import railspar.scale.standin.FleetPlan;
 
 /**
- * The configuration file of one real courier. It knows no endpoint at its start: all come from discovery.
+ * The configuration file of one real courier. It names no endpoints: the courier learns all of them from discovery.
  *
  * @param name the courier's name
- * @param listen where clients connect
- * @param management where operators call
- * @param discovery where discovery is
- * @param limits what the courier may use
- * @param couriers size of the fleet
+ * @param listen address for clients
+ * @param management address for operators
+ * @param discovery address of discovery
+ * @param limits resource limits of the courier
+ * @param couriers number of couriers in the fleet
  * @param zone the courier's zone
- * @param seed its seed for random numbers
+ * @param seed seed of the courier's random numbers
  */
 public record CourierConfiguration(
         String name,
@@ -31,13 +31,13 @@
         int couriers,
         String zone,
         long seed) {
-    /** The class of messages that may be repeated at will, with a deadline of a day. */
+    /** The class of messages that may be delivered repeatedly, with a deadline of a day. */
     public static final String SAFE_CLASS = "safe";
-    /** The class of messages that carry a key against duplicates. */
+    /** The class of messages that carry an idempotency key. */
     public static final String KEYED_CLASS = "keyed";
-    /** The class of messages that must not be repeated. */
+    /** The class of messages that must not be delivered twice. */
     public static final String ONCE_CLASS = "once";
-    /** The class of messages that keep the order of their key. */
+    /** The class of messages that are delivered in order for each key. */
     public static final String ORDERED_CLASS = "ordered";
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -51,17 +51,17 @@
     private static final long MAX_RETRY_AFTER_US = TimeUnit.SECONDS.toMicros(2);
     private static final double COLD_FROM = 0.5;
     private static final double TIP_MULTIPLE = 2.0;
-    private static final int CALLS_OUT = 12;
+    private static final int MAX_CONCURRENT_CALLS = 12;
     private static final int MESSAGES_PER_CALL = 5;
-    /** Attempts are not what these runs bound. */
-    private static final int MOST_TRIES = 1_000_000;
+    /** High enough that the number of attempts is not limited in these runs. */
+    private static final int MAX_ATTEMPTS = 1_000_000;
 
-    /** Writes it as the file that a courier reads. */
+    /** Writes the JSON file that a courier reads. */
     public void writeTo(final Path file) throws IOException {
         Files.write(file, JSON.writeValueAsBytes(toJson()));
     }
 
-    /** An address as the configuration and the environment state it. */
+    /** An address in the form used in the configuration and the environment. */
     public static String text(final InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
@@ -95,7 +95,7 @@
         messageClass(classes, ONCE_CLASS, "side_effect");
         messageClass(classes, ORDERED_CLASS, "side_effect").put("in_turn", true);
         settings.putArray("flavors").add(FleetPlan.KIND);
-        final ObjectNode extra = settings.putObject("extra").put("calls_out", CALLS_OUT);
+        final ObjectNode extra = settings.putObject("extra").put("calls_out", MAX_CONCURRENT_CALLS);
         extra.putArray("per_call").add(MESSAGES_PER_CALL);
         extra.putArray("routes_apart").add(false);
         settings.putObject("guarantees")
@@ -105,7 +105,7 @@
                 .put("tip_multiple", TIP_MULTIPLE);
         settings.putObject("limits")
                 .put("max_open", limits.maxOpen())
-                .put("most_tries", MOST_TRIES)
+                .put("most_tries", MAX_ATTEMPTS)
                 .put("cancel", true)
                 .put("idle_close", IDLE_CLOSE_US)
                 .put("retry_after", true)
--- a/src/main/java/railspar/scale/real/CourierOptions.java
+++ b/src/main/java/railspar/scale/real/CourierOptions.java
@@ -11,13 +11,13 @@
 
 /** Options of the commands that start real couriers. */
 final class CourierOptions {
-    private static final int MOST_MEMORY_MB = 4096;
+    private static final int MAX_MEMORY_MB = 4096;
     private static final String ZONE = "r0z0";
 
     @Option(
             names = "--memory-mb",
             defaultValue = "192",
-            description = "limit on memory that the configuration states (default: ${DEFAULT-VALUE})")
+            description = "memory limit in the configuration (default: ${DEFAULT-VALUE})")
     private int memoryMb;
 
     @Option(
@@ -26,17 +26,20 @@
             description = "folder of the built project, with deploy/balancer.toml (default: ${DEFAULT-VALUE})")
     private Path projectRoot;
 
-    @Option(names = "--seed", defaultValue = "1", description = "seed of the plan (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            description = "seed of the fleet plan and of the courier (default: ${DEFAULT-VALUE})")
     private long seed;
 
     @Option(names = "--output", description = "file for the result as JSON")
     private Path output;
 
-    /** Refuses values under which nothing could be run. */
+    /** Rejects option values with which no courier could be started. */
     void check(final CommandSpec spec) {
-        atLeast(spec, "--memory-mb", memoryMb, 1);
-        if (memoryMb > MOST_MEMORY_MB) {
-            throw new ParameterException(spec.commandLine(), "--memory-mb is at most " + MOST_MEMORY_MB);
+        requireAtLeast(spec, "--memory-mb", memoryMb, 1);
+        if (memoryMb > MAX_MEMORY_MB) {
+            throw new ParameterException(spec.commandLine(), "--memory-mb must be at most " + MAX_MEMORY_MB);
         }
         if (!Files.isRegularFile(projectRoot.resolve("deploy/balancer.toml"))) {
             throw new ParameterException(
@@ -44,9 +47,9 @@
         }
     }
 
-    static void atLeast(final CommandSpec spec, final String name, final long value, final long least) {
-        if (value < least) {
-            throw new ParameterException(spec.commandLine(), name + " is at least " + least + ", not " + value);
+    static void requireAtLeast(final CommandSpec spec, final String name, final long value, final long minimum) {
+        if (value < minimum) {
+            throw new ParameterException(spec.commandLine(), name + " must be at least " + minimum + ", not " + value);
         }
     }
 
@@ -62,7 +65,7 @@
         return output;
     }
 
-    /** What a courier that is alone is told, at free ports. */
+    /** The configuration of the only courier of a fleet, on free ports. */
     CourierConfiguration configuration(final DiscoveryServer discovery, final CourierLimits limits) throws IOException {
         return new CourierConfiguration(
                 "n0",
@@ -75,7 +78,7 @@
                 seed);
     }
 
-    /** A courier with a fresh folder under the project's build folder. */
+    /** A courier with a new folder of its own under the project's build folder. */
     RealCourier courier(final String name, final CourierConfiguration configuration) throws IOException {
         final Path root = projectRoot.toAbsolutePath().normalize();
         final Path parent = Files.createDirectories(root.resolve("target").resolve("scale"));
--- a/src/main/java/railspar/scale/real/DeployFile.java
+++ b/src/main/java/railspar/scale/real/DeployFile.java
@@ -5,21 +5,21 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** The commands of {@code deploy/balancer.toml}. */
+/** Reads the commands in {@code deploy/balancer.toml}. */
 public final class DeployFile {
     private static final Path FILE = Path.of("deploy", "balancer.toml");
     private static final String RUN_KEY = "run = ";
 
     private DeployFile() {}
 
-    /** The shell command that starts a real courier from the root of the project. */
+    /** The shell command that starts a real courier in the root folder of the project. */
     public static String runCommand(final Path projectRoot) throws IOException {
         for (final String line : Files.readAllLines(projectRoot.resolve(FILE))) {
             if (line.startsWith(RUN_KEY)) {
-                // A basic string of TOML has the escapes of a JSON string.
+                // A TOML basic string uses the same escapes as a JSON string.
                 return new ObjectMapper().readValue(line.substring(RUN_KEY.length()), String.class);
             }
         }
-        throw new IOException(projectRoot.resolve(FILE) + " has no line '" + RUN_KEY + "'");
+        throw new IOException(projectRoot.resolve(FILE) + " has no line that starts with '" + RUN_KEY + "'");
     }
 }
--- a/src/main/java/railspar/scale/real/ListOptions.java
+++ b/src/main/java/railspar/scale/real/ListOptions.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.ParameterException;
 import railspar.scale.standin.FleetPlan;
 
-/** Options of the commands that put one real courier before a list of endpoints. */
+/** Options of the commands that give one real courier a list of endpoints. */
 final class ListOptions {
     @Option(
             names = "--endpoints-per-destination",
@@ -16,13 +16,13 @@
     @Option(
             names = "--disk-mb",
             defaultValue = "7000",
-            description = "size of the folder that lasts, of which the copy of the list may take a part; the default is"
-                    + " what the target's backlog takes (default: ${DEFAULT-VALUE})")
+            description = "size of the state folder, of which the stored list may use a part; the default is"
+                    + " the size of the target's backlog (default: ${DEFAULT-VALUE})")
     private int diskMb;
 
-    /** Refuses values under which nothing could be run, for lists of these sizes. */
+    /** Rejects option values with which lists of these sizes could not be measured. */
     void check(final CommandSpec spec, final int... destinations) {
-        CourierOptions.atLeast(spec, "--disk-mb", diskMb, 1);
+        CourierOptions.requireAtLeast(spec, "--disk-mb", diskMb, 1);
         for (final int size : destinations) {
             try {
                 plan(size, 0);
@@ -36,14 +36,14 @@
         return endpointsPerDestination;
     }
 
-    /** A plan with a list of this size. */
+    /** A fleet plan of one courier and this many destinations. */
     FleetPlan plan(final int destinations, final long seed) {
         return new FleetPlan(1, destinations, endpointsPerDestination, 0, 1, 1, seed);
     }
 
-    /** The usual limits, with this memory and the folder's size. */
+    /** The default limits, but for this memory limit and the size of the state folder. */
     CourierLimits limits(final int memoryMb) {
-        final CourierLimits usual = CourierLimits.DEFAULT;
-        return new CourierLimits(memoryMb, usual.sockets(), diskMb, usual.maxOpen());
+        final CourierLimits defaults = CourierLimits.DEFAULT;
+        return new CourierLimits(memoryMb, defaults.sockets(), diskMb, defaults.maxOpen());
     }
 }
--- a/src/main/java/railspar/scale/real/ListSlopeCommand.java
+++ b/src/main/java/railspar/scale/real/ListSlopeCommand.java
@@ -21,7 +21,7 @@
 import railspar.scale.standin.ListHistory;
 import railspar.scale.standin.LoopbackPorts;
 
-/** Measures what the endpoint list costs one real courier, at several sizes of the list. */
+/** Measures event the endpoint list costs one real courier, at several sizes of the list. */
 @Command(
         name = "real-list",
         mixinStandardHelpOptions = true,
@@ -29,12 +29,12 @@
                 + " time and traffic with discovery.")
 public final class ListSlopeCommand implements Callable<Integer> {
     private static final Duration READY_TIMEOUT = Duration.ofSeconds(60);
-    /** Between the list coming into force and the idle time, for what a start leaves behind. */
+    /** Pause between applying the list and the idle time, so that work left over from the start can finish. */
     private static final Duration SETTLE = Duration.ofSeconds(3);
 
     private static final Duration CHANGE_PERIOD = Duration.ofMillis(20);
     private static final Duration CHANGES_TIMEOUT = Duration.ofSeconds(10);
-    /** A process that was killed is started again after this. */
+    /** Pause between killing the process and starting it again. */
     private static final Duration RESTART_PAUSE = Duration.ofMillis(600);
 
     private static final double BYTES_PER_MB = 1_000_000;
@@ -66,19 +66,19 @@
     @Option(
             names = "--changes",
             defaultValue = "100",
-            description = "changes of one endpoint that are told (default: ${DEFAULT-VALUE})")
+            description = "measured changes of one endpoint each (default: ${DEFAULT-VALUE})")
     private int changes;
 
     @Option(
             names = "--warm-up-changes",
             defaultValue = "100",
-            description = "changes that are told before those that are measured (default: ${DEFAULT-VALUE})")
+            description = "unmeasured changes before the measured ones (default: ${DEFAULT-VALUE})")
     private int warmUpChanges;
 
     @Option(
             names = "--list-timeout-seconds",
             defaultValue = "36",
-            description = "how long the list may take to come into force (default: ${DEFAULT-VALUE})")
+            description = "how long the courier may take to apply the list (default: ${DEFAULT-VALUE})")
     private int listTimeoutSeconds;
 
     /** Runs this command alone. */
@@ -101,14 +101,14 @@
 
     private void check() {
         options.check(spec);
-        CourierOptions.atLeast(spec, "--idle-seconds", idleSeconds, 1);
-        CourierOptions.atLeast(spec, "--changes", changes, 1);
-        CourierOptions.atLeast(spec, "--warm-up-changes", warmUpChanges, 0);
-        CourierOptions.atLeast(spec, "--list-timeout-seconds", listTimeoutSeconds, 1);
+        CourierOptions.requireAtLeast(spec, "--idle-seconds", idleSeconds, 1);
+        CourierOptions.requireAtLeast(spec, "--changes", changes, 1);
+        CourierOptions.requireAtLeast(spec, "--warm-up-changes", warmUpChanges, 0);
+        CourierOptions.requireAtLeast(spec, "--list-timeout-seconds", listTimeoutSeconds, 1);
         listOptions.check(spec, destinations);
     }
 
-    /** After each size, so that a run that is cut short leaves what it has measured. */
+    /** Called after each size, so that an interrupted run keeps the results measured so far. */
     private void save(final List<ListSlopeResult.Row> rows) throws IOException {
         if (options.output() != null) {
             ResultFile.write(
@@ -124,15 +124,15 @@
         }
     }
 
-    private void progress(final int size, final String what) {
-        spec.commandLine().getErr().println(spec.name() + ": " + size + " destinations: " + what);
+    private void progress(final int size, final String event) {
+        spec.commandLine().getErr().println(spec.name() + ": " + size + " destinations: " + event);
     }
 
     private ListSlopeResult.Row measure(final int size) throws IOException {
-        try (Socket closed = LoopbackPorts.bindRefusingSocket()) {
-            final InetSocketAddress dial = (InetSocketAddress) closed.getLocalSocketAddress();
+        try (Socket refusing = LoopbackPorts.bindRefusingSocket()) {
+            final InetSocketAddress refusingAddress = (InetSocketAddress) refusing.getLocalSocketAddress();
             final List<EndpointEntry> list =
-                    listOptions.plan(size, options.seed()).endpoints(dial);
+                    listOptions.plan(size, options.seed()).endpoints(refusingAddress);
             final ListHistory history = new ListHistory(list);
             try (DiscoveryServer discovery = new DiscoveryServer(history);
                     RealCourier courier = options.courier(
@@ -260,7 +260,7 @@
             progress(size, "ready after " + text(ready));
             final Optional<Duration> listed =
                     courier.awaitDiscovered(list.size(), Duration.ofSeconds(listTimeoutSeconds));
-            progress(size, "list in force after " + text(listed));
+            progress(size, "list applied after " + text(listed));
             return new Start(ready, listed);
         }
 
@@ -268,15 +268,15 @@
             return courier.isAlive() ? Optional.of(courier.sample()) : Optional.empty();
         }
 
-        /** Processor time for one change in milliseconds, or null if the changes did not come into force. */
+        /** Processor time for one change in milliseconds, or null if the changes were not applied in time. */
         private Double changeCost(final Optional<ProcessSample> idleBefore, final Optional<ProcessSample> idleAfter)
                 throws IOException {
-            tellChanges(warmUpChanges);
+            publishChanges(warmUpChanges);
             final Optional<ProcessSample> before = sample();
-            final boolean inForce = tellChanges(changes);
-            progress(size, "changes in force: " + inForce);
+            final boolean applied = publishChanges(changes);
+            progress(size, "changes applied: " + applied);
             final Optional<ProcessSample> after = sample();
-            if (!inForce || before.isEmpty() || after.isEmpty() || idleBefore.isEmpty() || idleAfter.isEmpty()) {
+            if (!applied || before.isEmpty() || after.isEmpty() || idleBefore.isEmpty() || idleAfter.isEmpty()) {
                 return null;
             }
             final double idleNs = idleAfter.get().threadNs() - idleBefore.get().threadNs();
@@ -287,8 +287,8 @@
             return (usedNs - idleShare * elapsedNs) / changes / TimeUnit.MILLISECONDS.toNanos(1);
         }
 
-        /** Tells changes of one endpoint each; true once the last one is in force. */
-        private boolean tellChanges(final int count) throws IOException {
+        /** Publishes changes of one endpoint each; returns true if the last one is applied in time. */
+        private boolean publishChanges(final int count) throws IOException {
             for (int index = 0; index < count; index++) {
                 final EndpointEntry entry = list.get(index / 2 % list.size());
                 history.change(List.of(entry.withHealth(
--- a/src/main/java/railspar/scale/real/ListSlopeResult.java
+++ b/src/main/java/railspar/scale/real/ListSlopeResult.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What a list of each size costs one real courier.
+ * Costs of one real courier at each size of its endpoint list.
  *
- * @param memoryMb the limit on memory that its configuration stated
+ * @param memoryMb the memory limit in its configuration
  * @param endpointsPerDestination endpoints of a destination on average
- * @param idleSeconds how long it was watched while idle
- * @param warmUpChanges how many changes were told before those that were measured
+ * @param idleSeconds how long it was measured while idle
+ * @param warmUpChanges how many unmeasured changes preceded the measured ones
  * @param changes how many changes were measured
- * @param processors processors of the machine
- * @param rows one for each size
+ * @param processors number of processors of the machine
+ * @param rows one row for each size
  */
 record ListSlopeResult(
         int memoryMb,
@@ -22,19 +22,19 @@
         int processors,
         List<Row> rows) {
     /**
-     * One size. A null stands for what never came.
+     * The figures of one size. A null means that the figure could not be measured.
      *
      * @param destinations destinations in the list
      * @param endpoints endpoints in the list
-     * @param listBytes the whole list as one line
-     * @param alive true if the process was alive at the end of the first part
-     * @param first from an empty folder
+     * @param listBytes length of the whole list as one line
+     * @param alive true if the process was alive before it was killed
+     * @param first the start on an empty folder
      * @param residentMb resident memory after the idle time
-     * @param peakResidentMb the most that was resident until then
+     * @param peakResidentMb peak resident memory until then
      * @param idleShare share of a core used while idle
-     * @param changesInForce true if the last change came into force
-     * @param millisPerChange processor time for one change, the idle share taken off
-     * @param afterKill on the same folder after SIGKILL
+     * @param changesInForce true if the last change was applied in time and its cost measured
+     * @param millisPerChange processor time for one change, less the idle share
+     * @param afterKill the start on the same folder after SIGKILL
      */
     record Row(
             int destinations,
@@ -52,12 +52,12 @@
     /**
      * One start of the process.
      *
-     * @param readySeconds until it answered that it is ready
-     * @param listSeconds until the whole list was in force
+     * @param readySeconds time until it answered that it is ready
+     * @param listSeconds time until the whole list was applied
      * @param observedSeconds how long its traffic with discovery was counted
-     * @param bytesFromDiscovery bytes sent to it meanwhile
-     * @param wholeLists whole lists that were begun meanwhile
-     * @param connections connections to discovery meanwhile
+     * @param bytesFromDiscovery bytes that discovery sent to it in that time
+     * @param wholeLists whole lists that discovery began to send in that time
+     * @param connections connections to discovery opened in that time
      */
     record Start(
             Double readySeconds,
--- a/src/main/java/railspar/scale/real/ProcessSample.java
+++ b/src/main/java/railspar/scale/real/ProcessSample.java
@@ -10,15 +10,15 @@
 import java.util.stream.Stream;
 
 /**
- * What the kernel says of a process at one moment.
+ * Figures that the kernel reports of a process at one moment.
  *
- * @param atNs when, on the clock of {@link System#nanoTime}
- * @param residentBytes memory that is resident
- * @param peakResidentBytes the most that ever was
+ * @param atNs time of the sample, on the clock of {@link System#nanoTime}
+ * @param residentBytes resident memory
+ * @param peakResidentBytes peak resident memory since its start
  * @param processorNs processor time since its start, user and system, in steps of 10 ms
- * @param threadNs processor time of the threads that live now, fine-grained
- * @param readBytes bytes read by system calls, sockets and files
- * @param writtenBytes bytes written by system calls, sockets and files
+ * @param threadNs processor time of the threads that are alive now, in nanosecond resolution
+ * @param readBytes bytes read by system calls, from sockets and files
+ * @param writtenBytes bytes written by system calls, to sockets and files
  */
 public record ProcessSample(
         long atNs,
@@ -31,12 +31,12 @@
     private static final long BYTES_PER_KB = 1024;
     /** The kernel reports processor time in hundredths of a second on every architecture. */
     private static final long NS_PER_TICK = TimeUnit.MILLISECONDS.toNanos(10);
-    /** Fields of {@code /proc/PID/stat} after the name in parentheses, counted from 0. */
-    private static final int USER_TICKS = 11;
+    /** Index among the fields of {@code /proc/PID/stat} after the name in parentheses, counted from 0. */
+    private static final int USER_TICKS_INDEX = 11;
 
-    private static final int SYSTEM_TICKS = 12;
+    private static final int SYSTEM_TICKS_INDEX = 12;
 
-    /** Reads the figures of a process of this user. */
+    /** Takes a sample of a process of this user. */
     public static ProcessSample of(final long pid) throws IOException {
         final Path process = Path.of("/proc", Long.toString(pid));
         final List<String> status = Files.readAllLines(process.resolve("status"));
@@ -59,7 +59,7 @@
     private static long processorNs(final Path process) throws IOException {
         final String stat = Files.readString(process.resolve("stat"));
         final String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-        return (Long.parseLong(fields[USER_TICKS]) + Long.parseLong(fields[SYSTEM_TICKS])) * NS_PER_TICK;
+        return (Long.parseLong(fields[USER_TICKS_INDEX]) + Long.parseLong(fields[SYSTEM_TICKS_INDEX])) * NS_PER_TICK;
     }
 
     private static long threadNs(final Path process) throws IOException {
--- a/src/main/java/railspar/scale/real/RealCourier.java
+++ b/src/main/java/railspar/scale/real/RealCourier.java
@@ -16,11 +16,11 @@
 import java.util.stream.Stream;
 
 /**
- * One real courier as a process of its own, with its folders. It can be killed and started again on the same folder.
- * The process ends with {@link #close}.
+ * One real courier in a separate process, with its folders. It can be killed and started again on the same folders.
+ * {@link #close} ends the process.
  */
 public final class RealCourier implements AutoCloseable {
-    private static final Duration POLL = Duration.ofMillis(20);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
     private static final Duration KILL_TIMEOUT = Duration.ofSeconds(20);
     private static final int HTTP_TIMEOUT_MS = 1000;
     private static final int HTTP_OK = 200;
@@ -30,21 +30,21 @@
     private final Path folder;
     private final CourierConfiguration configuration;
     private final ManagementClient management;
-    /** Ends the process also where this program is ended from outside. */
-    private final Thread endWithProgram = new Thread(this::destroy, "end courier");
+    /** Ends the process also when this program is terminated from outside. */
+    private final Thread shutdownHook = new Thread(this::destroy, "end courier");
 
     private volatile Process process;
     private long startedNs;
-    /** Size of the log when the process was started. */
-    private long logStart;
+    /** Size of the log in bytes when the process was started. */
+    private long logStartBytes;
 
     /**
-     * A courier that is not started yet.
+     * Creates a courier that is not started yet.
      *
-     * @param command the shell command that becomes the courier, from the deploy file
-     * @param projectRoot where the command is run
-     * @param folder an own folder for its configuration, its state and its log
-     * @param configuration what it is told
+     * @param command the shell command that starts the courier, from the deploy file
+     * @param projectRoot the working directory of the command
+     * @param folder a folder for the configuration, the state and the log of this courier alone
+     * @param configuration its configuration
      */
     public RealCourier(
             final String command, final Path projectRoot, final Path folder, final CourierConfiguration configuration) {
@@ -53,13 +53,13 @@
         this.folder = folder;
         this.configuration = configuration;
         this.management = new ManagementClient(configuration.management());
-        Runtime.getRuntime().addShutdownHook(endWithProgram);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
-    /** Starts the process; the state of one before it, if there was any, is found again. */
+    /** Starts the process on the state that an earlier process left, if there was one. */
     public void start() throws IOException {
         if (isAlive()) {
-            throw new IllegalStateException(configuration.name() + " runs already");
+            throw new IllegalStateException(configuration.name() + " is already running");
         }
         Files.createDirectories(stateFolder());
         Files.createDirectories(temporaryFolder());
@@ -76,30 +76,36 @@
         builder.environment().put("PROXY_STATE", stateFolder().toString());
         builder.environment().put("PROXY_CONFIG", configurationFile().toString());
         builder.environment().put("TMPDIR", temporaryFolder().toString());
-        logStart = Files.exists(logFile()) ? Files.size(logFile()) : 0;
+        logStartBytes = Files.exists(logFile()) ? Files.size(logFile()) : 0;
         startedNs = System.nanoTime();
         process = builder.start();
     }
 
-    /** Waits until the courier answers {@code GET /up} with 200; how long that took since its start, if it did. */
-    public Optional<Duration> awaitReady(final Duration most) throws IOException {
-        return awaitSinceStart(most, this::isReady);
+    /**
+     * Waits until the courier answers {@code GET /up} with 200. Returns how long that took since its start, or empty if
+     * it did not in time.
+     */
+    public Optional<Duration> awaitReady(final Duration timeout) throws IOException {
+        return awaitSinceStart(timeout, this::isReady);
     }
 
-    /** Waits until so many endpoints are in force; how long that took since its start, if they came. */
-    public Optional<Duration> awaitDiscovered(final long endpoints, final Duration most) throws IOException {
-        return awaitSinceStart(most, () -> hasDiscovered(endpoints));
+    /**
+     * Waits until the courier has exactly this number of endpoints in its list. Returns how long that took since its
+     * start, or empty if it did not in time.
+     */
+    public Optional<Duration> awaitDiscovered(final long endpoints, final Duration timeout) throws IOException {
+        return awaitSinceStart(timeout, () -> hasDiscovered(endpoints));
     }
 
-    /** Waits until the log says that this version of the list was applied; false if it did not in time. */
-    public boolean awaitListVersion(final long version, final Duration most) throws IOException {
-        final String words = "the list at " + version + ":";
-        final long endNs = System.nanoTime() + most.toNanos();
-        while (logSinceStart().stream().noneMatch(line -> line.contains(words))) {
-            if (System.nanoTime() >= endNs || !isAlive()) {
+    /** Waits until the log reports that this version of the list is applied; returns false if it does not in time. */
+    public boolean awaitListVersion(final long version, final Duration timeout) throws IOException {
+        final String expectedText = "the list at " + version + ":";
+        final long deadlineNs = System.nanoTime() + timeout.toNanos();
+        while (logSinceStart().stream().noneMatch(line -> line.contains(expectedText))) {
+            if (System.nanoTime() >= deadlineNs || !isAlive()) {
                 return false;
             }
-            LockSupport.parkNanos(POLL.toNanos());
+            LockSupport.parkNanos(POLL_INTERVAL.toNanos());
         }
         return true;
     }
@@ -108,13 +114,13 @@
         boolean holds() throws IOException;
     }
 
-    private Optional<Duration> awaitSinceStart(final Duration most, final Condition condition) throws IOException {
-        final long endNs = startedNs + most.toNanos();
-        while (System.nanoTime() < endNs && isAlive()) {
+    private Optional<Duration> awaitSinceStart(final Duration timeout, final Condition condition) throws IOException {
+        final long deadlineNs = startedNs + timeout.toNanos();
+        while (System.nanoTime() < deadlineNs && isAlive()) {
             if (condition.holds()) {
                 return Optional.of(Duration.ofNanos(System.nanoTime() - startedNs));
             }
-            LockSupport.parkNanos(POLL.toNanos());
+            LockSupport.parkNanos(POLL_INTERVAL.toNanos());
         }
         return Optional.empty();
     }
@@ -128,7 +134,7 @@
             connection.setRequestProperty("Connection", "close");
             return connection.getResponseCode() == HTTP_OK;
         } catch (final IOException e) {
-            // Not listening yet, or silent.
+            // It does not listen yet or does not answer.
             return false;
         }
     }
@@ -137,12 +143,12 @@
         try {
             return management.discovered() == endpoints;
         } catch (final IOException e) {
-            // Not listening yet, or silent.
+            // It does not listen yet or does not answer.
             return false;
         }
     }
 
-    /** What the kernel says of the process now. */
+    /** Figures that the kernel reports of the process now. */
     public ProcessSample sample() throws IOException {
         return ProcessSample.of(process.pid());
     }
@@ -152,7 +158,7 @@
         return process != null && process.isAlive();
     }
 
-    /** Ends the process with SIGKILL, and returns once it is gone. */
+    /** Ends the process with SIGKILL and waits until it has exited. */
     public void kill() throws IOException {
         if (process == null) {
             return;
@@ -160,38 +166,38 @@
         process.destroyForcibly();
         try {
             if (!process.waitFor(KILL_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)) {
-                throw new IOException(configuration.name() + " did not end after SIGKILL");
+                throw new IOException(configuration.name() + " did not exit in time after SIGKILL");
             }
         } catch (final InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted while " + configuration.name() + " was ended", e);
+            throw new IOException("interrupted while waiting for the exit of " + configuration.name(), e);
         }
     }
 
-    /** Its second address. */
+    /** A client of its management address. */
     public ManagementClient management() {
         return management;
     }
 
-    /** Where clients connect. */
+    /** The address for clients. */
     public InetSocketAddress address() {
         return configuration.listen();
     }
 
-    /** What the process has logged since it was started. */
+    /** The lines that the process has logged since it was last started. */
     public List<String> logSinceStart() throws IOException {
         final byte[] log = Files.readAllBytes(logFile());
-        return new String(log, (int) logStart, log.length - (int) logStart, StandardCharsets.UTF_8)
+        return new String(log, (int) logStartBytes, log.length - (int) logStartBytes, StandardCharsets.UTF_8)
                 .lines()
                 .toList();
     }
 
-    /** The file that takes all that it writes to standard output and error. */
+    /** The file that receives its standard output and standard error. */
     public Path logFile() {
         return folder.resolve("log.txt");
     }
 
-    /** Bytes in the folder that lasts. */
+    /** The size of all files in its state folder in bytes. */
     public long stateBytes() throws IOException {
         try (Stream<Path> files = Files.walk(stateFolder())) {
             return files.filter(Files::isRegularFile)
@@ -221,6 +227,6 @@
     @Override
     public void close() throws IOException {
         kill();
-        Runtime.getRuntime().removeShutdownHook(endWithProgram);
+        Runtime.getRuntime().removeShutdownHook(shutdownHook);
     }
 }
--- a/src/main/java/railspar/scale/real/ResultFile.java
+++ b/src/main/java/railspar/scale/real/ResultFile.java
@@ -6,7 +6,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Writes results as JSON. */
+/** Writes results as JSON files. */
 final class ResultFile {
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
--- a/src/main/java/railspar/scale/real/TextTable.java
+++ b/src/main/java/railspar/scale/real/TextTable.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A table of text with aligned columns. */
+/** A text table with aligned columns. */
 final class TextTable {
-    private static final String NONE = "never";
+    private static final String MISSING_VALUE = "never";
 
     private final List<String[]> rows = new ArrayList<>();
 
@@ -18,9 +18,9 @@
         rows.add(cells);
     }
 
-    /** A number with its unit, or a word for one that never came. */
+    /** A number in the given format, or "never" for null. */
     static String number(final Double value, final String format) {
-        return value == null ? NONE : String.format(Locale.ROOT, format, value);
+        return value == null ? MISSING_VALUE : String.format(Locale.ROOT, format, value);
     }
 
     @Override
--- a/src/test/java/railspar/scale/real/RealCourierTest.java
+++ b/src/test/java/railspar/scale/real/RealCourierTest.java
@@ -28,10 +28,10 @@
 import railspar.scale.standin.MessageLedger;
 import railspar.scale.standin.MessageProfile;
 
-/** A real courier before the stand-ins: it starts, follows the list, delivers, is killed and starts again. */
+/** Runs a real courier with simulated discovery, clients and endpoints: start, list changes, delivery, restart. */
 @Timeout(120)
 final class RealCourierTest {
-    private static final Duration PATIENCE = Duration.ofSeconds(30);
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
     private static final int ENDPOINTS = 85;
 
     @TempDir
@@ -44,31 +44,31 @@
     }
 
     @Test
-    void itFollowsTheListAndStartsAgainAfterAKill() throws IOException {
-        try (Socket closed = LoopbackPorts.bindRefusingSocket()) {
-            final List<EndpointEntry> list =
-                    new FleetPlan(1, 50, 1.7, 0, 1, 1, 1).endpoints((InetSocketAddress) closed.getLocalSocketAddress());
+    void appliesListChangesAndRestartsAfterSigkill() throws IOException {
+        try (Socket refusing = LoopbackPorts.bindRefusingSocket()) {
+            final List<EndpointEntry> list = new FleetPlan(1, 50, 1.7, 0, 1, 1, 1)
+                    .endpoints((InetSocketAddress) refusing.getLocalSocketAddress());
             final ListHistory history = new ListHistory(list);
             try (DiscoveryServer discovery = new DiscoveryServer(history);
                     RealCourier courier = courier(discovery)) {
                 courier.start();
-                assertTrue(courier.awaitReady(PATIENCE).isPresent(), () -> log(courier));
-                assertTrue(courier.awaitDiscovered(ENDPOINTS, PATIENCE).isPresent(), () -> log(courier));
+                assertTrue(courier.awaitReady(TIMEOUT).isPresent(), () -> log(courier));
+                assertTrue(courier.awaitDiscovered(ENDPOINTS, TIMEOUT).isPresent(), () -> log(courier));
                 assertTrue(courier.sample().residentBytes() > 0);
                 final long version = history.change(List.of(list.get(0).withHealth(EndpointEntry.Health.TERMINATING)));
-                assertTrue(courier.awaitListVersion(version, PATIENCE), () -> log(courier));
+                assertTrue(courier.awaitListVersion(version, TIMEOUT), () -> log(courier));
                 courier.kill();
                 assertFalse(courier.isAlive());
                 courier.start();
-                assertTrue(courier.awaitReady(PATIENCE).isPresent(), () -> log(courier));
-                assertTrue(courier.awaitDiscovered(ENDPOINTS, PATIENCE).isPresent(), () -> log(courier));
+                assertTrue(courier.awaitReady(TIMEOUT).isPresent(), () -> log(courier));
+                assertTrue(courier.awaitDiscovered(ENDPOINTS, TIMEOUT).isPresent(), () -> log(courier));
                 assertEquals(0, courier.management().outstanding());
             }
         }
     }
 
     @Test
-    void messagesOfClientsReachTheirDestinationsByTheRules() throws Exception {
+    void deliversMessagesWithoutLossOrRuleViolation() throws Exception {
         final int messages = 150;
         final int destinations = 25;
         final FleetPlan plan = new FleetPlan(1, destinations, 2, 0, 1, 1, 1);
@@ -83,8 +83,8 @@
                     RealCourier courier = courier(discovery)) {
                 discovery.onOutcome(outcome -> ledger.recordOutcome(outcome, System.nanoTime()));
                 courier.start();
-                assertTrue(courier.awaitReady(PATIENCE).isPresent(), () -> log(courier));
-                assertTrue(courier.awaitDiscovered(list.size(), PATIENCE).isPresent(), () -> log(courier));
+                assertTrue(courier.awaitReady(TIMEOUT).isPresent(), () -> log(courier));
+                assertTrue(courier.awaitDiscovered(list.size(), TIMEOUT).isPresent(), () -> log(courier));
                 final LoadGeneratorSettings load = new LoadGeneratorSettings(
                         2,
                         200,
@@ -98,7 +98,7 @@
                         1);
                 new LoadGenerator(load, List.of(courier.address()), ledger, server::register).run();
                 BoundedWait.until(
-                        "the end of all messages",
+                        "all messages to end",
                         () -> ledger.report(System.nanoTime()).open() == 0);
                 final LedgerReport report = ledger.report(System.nanoTime());
                 assertEquals(messages, report.handedIn());
