--- a/src/main/java/railspar/scale/slope/DecisionFixture.java
+++ b/src/main/java/railspar/scale/slope/DecisionFixture.java
@@ -7,127 +7,132 @@
 import railspar.Courier;
 
 /**
- * The decision module with a list of the target's shape, on a clock that only the measurement moves. This is the one
- * place that makes a {@link Control}.
+ * The decision module with an endpoint list of the target's proportions, on a clock that only the measurement
+ * advances. This is the only place in this package that creates a {@link Control}.
  */
 final class DecisionFixture {
     static final long SECOND_US = 1_000_000;
     /** The target: 76,500 endpoints for 45,000 destinations. */
     static final double ENDPOINTS_PER_DESTINATION = 1.7;
 
-    /** Couriers of the target. */
+    /** Number of couriers of the target fleet. */
     static final int TARGET_COURIERS = 660;
 
-    /** More than any size measured: nothing that was learned is forgotten for want of room. */
-    private static final int DESTINATIONS_AT_REST = Integer.MAX_VALUE;
+    /** Above any measured size, so that no learned state is evicted for lack of space. */
+    private static final int MAX_IDLE_DESTINATIONS = Integer.MAX_VALUE;
 
     private static final int SLOTS = 256;
     private static final long DAY_US = 24 * 3600 * SECOND_US;
     private static final long SEED = 7;
-    /** How often it is looked whether a call may be made. */
-    private static final long LOOK_US = SECOND_US / 4;
-    /** How long a call took, as it is told. */
-    private static final long CALL_US = SECOND_US / 50;
+    /** Interval between checks whether a call may be started. */
+    private static final long CHECK_INTERVAL_US = SECOND_US / 4;
+    /** The duration reported for each call. */
+    private static final long CALL_DURATION_US = SECOND_US / 50;
 
     private final CountingActions actions = new CountingActions();
     private final ListTable list;
     private final Control control;
     private final int destinations;
     private long nowUs = SECOND_US;
-    private int taken;
+    private int accepted;
 
-    /** With so many destinations in its list, which it looks up in the courier's own table. */
+    /** Creates a module whose list has this many destinations, looked up in the courier's own endpoint table. */
     DecisionFixture(final int destinations) {
         this(destinations, TARGET_COURIERS);
     }
 
-    /** The same in a fleet of so many couriers: of few, each tries a destination that is down more often. */
+    /**
+     * As above, in a fleet of this many couriers. The fewer couriers there are, the more often each of them probes a
+     * destination that is down.
+     */
     DecisionFixture(final int destinations, final int couriers) {
         this.destinations = destinations;
         this.list = ListTable.of(destinations);
-        this.control = new Control(settings(couriers), SEED, actions, list, DESTINATIONS_AT_REST);
-        tellWholeList();
+        this.control = new Control(settings(couriers), SEED, actions, list, MAX_IDLE_DESTINATIONS);
+        announceWholeList();
         control.decide(nowUs);
     }
 
-    /** Every destination tells a wait of a day, so that what is taken for it stays waiting. */
-    void closeAll() {
+    /** Reports a retry-after of a day from every endpoint, so that messages for it stay queued. */
+    void pauseAllDestinations() {
         for (int destination = 0; destination < destinations; destination++) {
             list.endpointsOf(destination).forEach(endpoint -> control.onRetryAfter(nowUs, endpoint.id(), DAY_US));
         }
     }
 
-    /** Takes so many messages, spread evenly over the first destinations. */
-    void take(final int messages, final int destinations) {
+    /** Accepts this many messages, spread evenly over the first {@code destinations} destinations. */
+    void accept(final int messages, final int destinations) {
         for (int index = 0; index < messages; index++) {
-            final String id = String.format("%016x", ++taken);
+            final String id = String.format("%016x", ++accepted);
             control.onMessage(nowUs, new Courier.Message(id, 0, -1, null, nowUs + DAY_US, index % destinations));
         }
         control.decide(nowUs);
     }
 
-    /** Lets time pass until a call is made, and ends the oldest one that is out; what has ended is taken anew. */
-    void endOneCall(final Courier.Result result) {
-        while (actions.out.isEmpty()) {
-            nowUs += LOOK_US;
+    /**
+     * Advances the clock until a call is in flight and completes the oldest one with this result. Accepts a new message
+     * for each one that has ended.
+     */
+    void completeOneCall(final Courier.Result result) {
+        while (actions.inFlight.isEmpty()) {
+            nowUs += CHECK_INTERVAL_US;
             control.decide(nowUs);
         }
-        final CountingActions.Call call = actions.out.remove();
+        final CountingActions.Call call = actions.inFlight.remove();
         final boolean delivered = result == Courier.Result.DELIVERED;
         actions.ended += delivered ? 1 : 0;
         control.onOutcome(
-                nowUs, new Courier.Outcome(call.messageId(), result, delivered, call.endpoint(), CALL_US, 0, null));
-        take(actions.takeEnded(), 1);
+                nowUs,
+                new Courier.Outcome(call.messageId(), result, delivered, call.endpoint(), CALL_DURATION_US, 0, null));
+        accept(actions.takeEndedCount(), 1);
     }
 
-    /** Decides a microsecond later, when nothing has become due. */
-    void decideSoon() {
+    /** Runs the decisions a microsecond later, when nothing has become due. */
+    void decideMicrosecondLater() {
         control.decide(++nowUs);
     }
 
-    /** Decides a second later, when each lane's step is due. */
-    void decideNextSecond() {
+    /** Runs the decisions a second later, when the periodic step of each route is due. */
+    void decideSecondLater() {
         nowUs += SECOND_US;
         control.decide(nowUs);
     }
 
-    /** Tells that there is a whole list, as after a broken watch; the decisions look up what they need of it. */
-    void tellWholeList() {
+    /** Announces a whole list, as after a broken watch. The decision module looks up the entries that it needs. */
+    void announceWholeList() {
         control.onListUpdate(nowUs, Courier.ListUpdate.FULL, List.of());
     }
 
-    /** Tells one entry, as an ordinary change does. */
-    void tellOneChange() {
+    /** Announces one entry, as an ordinary change does. */
+    void announceOneChange() {
         control.onListUpdate(
                 nowUs, Courier.ListUpdate.INCREMENTAL, list.endpointsOf(0).subList(0, 1));
     }
 
-    /** Counts the endpoints that get nothing, as the courier's figures do ten times a second. */
+    /** Counts the endpoints that receive no calls, as the courier's metrics do ten times a second. */
     int countAvoided() {
         return control.avoidedEndpoints(nowUs);
     }
 
-    /**
-     * Reads how each endpoint stands, as a process does that hands over to another; the result counts the figures.
-     */
-    int readAllStandings() {
-        int figures = 0;
+    /** Reads the snapshot of each endpoint, as a handover does; returns the number of values in all of them. */
+    int readAllSnapshots() {
+        int values = 0;
         for (int destination = 0; destination < destinations; destination++) {
             for (final Courier.Endpoint endpoint : list.endpointsOf(destination)) {
-                figures += control.snapshot(nowUs, endpoint.id()).values().size();
+                values += control.snapshot(nowUs, endpoint.id()).values().size();
             }
         }
-        return figures;
+        return values;
     }
 
-    /** Messages that have been taken and have not ended. */
-    int waitingOrOut() {
-        return taken - actions.endedInAll;
+    /** The number of accepted messages that have not ended. */
+    int openMessages() {
+        return accepted - actions.totalEnded;
     }
 
-    /** Calls that the module has asked for so far. */
-    int sent() {
-        return actions.sent;
+    /** The number of calls that the module has requested so far. */
+    int callCount() {
+        return actions.callCount;
     }
 
     private static Courier.Settings settings(final int couriers) {
@@ -146,25 +151,25 @@
                 new Courier.Limits(SLOTS, Integer.MAX_VALUE, 8, true, 15 * SECOND_US, 1, 3 * SECOND_US));
     }
 
-    /** Carries nothing out, and counts the calls asked for. */
+    /** Performs no action and counts the requested calls. */
     private static final class CountingActions implements Courier.Actions {
         private record Call(String messageId, long endpoint) {}
 
-        private final Queue<Call> out = new ArrayDeque<>();
-        private int sent, ended, endedInAll;
+        private final Queue<Call> inFlight = new ArrayDeque<>();
+        private int callCount, ended, totalEnded;
 
-        /** How many messages have ended since this was last asked. */
-        private int takeEnded() {
-            final int taken = ended;
-            endedInAll += taken;
+        /** Returns the number of messages that have ended since the previous call of this method. */
+        private int takeEndedCount() {
+            final int newlyEnded = ended;
+            totalEnded += newlyEnded;
             ended = 0;
-            return taken;
+            return newlyEnded;
         }
 
         @Override
         public void send(final String messageId, final long endpoint, final long timeoutUs) {
-            sent++;
-            out.add(new Call(messageId, endpoint));
+            callCount++;
+            inFlight.add(new Call(messageId, endpoint));
         }
 
         @Override
--- a/src/main/java/railspar/scale/slope/HeapUse.java
+++ b/src/main/java/railspar/scale/slope/HeapUse.java
@@ -3,27 +3,27 @@
 import java.lang.ref.Reference;
 import java.util.function.Supplier;
 
-/** Heap that an object keeps alive, as the difference in used heap around its making. */
+/** Heap retained by an object, measured as the difference in used heap before and after its creation. */
 public final class HeapUse {
-    /** The serial collector leaves some garbage in place, and compacts all only at every fourth collection. */
+    /** The serial collector leaves some garbage in place; only every fourth collection compacts the whole heap. */
     private static final int COLLECTIONS = 5;
 
     private HeapUse() {}
 
     /**
-     * Bytes in use more, once the object is made and garbage is collected. It is made twice and the second time
-     * counts: the first one loads classes and lets go of what the start of the process left behind.
+     * The increase in used bytes after the object is created and garbage is collected. The object is created twice and
+     * only the second measurement counts: the first one loads classes and frees garbage from the start of the process.
      */
-    public static double bytesHeldBy(final Supplier<?> maker) {
-        measure(maker);
-        return measure(maker);
+    public static double bytesHeldBy(final Supplier<?> supplier) {
+        measure(supplier);
+        return measure(supplier);
     }
 
-    private static long measure(final Supplier<?> maker) {
+    private static long measure(final Supplier<?> supplier) {
         final long before = usedAfterCollection();
-        final Object held = maker.get();
+        final Object retained = supplier.get();
         final long after = usedAfterCollection();
-        Reference.reachabilityFence(held);
+        Reference.reachabilityFence(retained);
         return after - before;
     }
 
--- a/src/main/java/railspar/scale/slope/LeastSquares.java
+++ b/src/main/java/railspar/scale/slope/LeastSquares.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * The straight line that fits measured points best, by least squares.
+ * The straight line that fits measured points best, by the least squares method.
  *
  * @param intercept the fitted value at size 0
  * @param slope the fitted growth for each unit of size
- * @param residuals measured less fitted, in the order of the points
+ * @param residuals measured values less fitted values, in the order of the points
  * @param determination the share of the variance that the line explains (R squared), 1 where all values are equal
  */
 public record LeastSquares(double intercept, double slope, List<Double> residuals, double determination) {
-    private static final int LEAST_POINTS = 2;
+    private static final int MIN_SIZES = 2;
 
-    /** Fits values against sizes; refuses fewer than two different sizes, for which no line is determined. */
+    /** Fits values against sizes. Rejects fewer than two different sizes, because they determine no line. */
     public static LeastSquares fit(final List<Double> sizes, final List<Double> values) {
         if (sizes.size() != values.size()) {
             throw new IllegalArgumentException(sizes.size() + " sizes but " + values.size() + " values");
         }
-        if (sizes.stream().distinct().count() < LEAST_POINTS) {
+        if (sizes.stream().distinct().count() < MIN_SIZES) {
             throw new IllegalArgumentException("a line needs at least two different sizes");
         }
         final double meanSize = mean(sizes);
@@ -36,9 +36,10 @@
         final double slope = covariance / sizeVariance;
         final double intercept = meanValue - slope * meanSize;
         final List<Double> residuals = residuals(sizes, values, intercept, slope);
-        final double unexplained =
-                residuals.stream().mapToDouble(one -> one * one).sum();
-        return new LeastSquares(intercept, slope, residuals, valueVariance == 0 ? 1 : 1 - unexplained / valueVariance);
+        final double residualVariance =
+                residuals.stream().mapToDouble(residual -> residual * residual).sum();
+        return new LeastSquares(
+                intercept, slope, residuals, valueVariance == 0 ? 1 : 1 - residualVariance / valueVariance);
     }
 
     /** The line's value at a size, which may lie outside the measured ones. */
--- a/src/main/java/railspar/scale/slope/ListSample.java
+++ b/src/main/java/railspar/scale/slope/ListSample.java
@@ -8,25 +8,25 @@
 
 /** A whole list in the protocol's JSON form, with names, addresses and zones of the usual length. */
 final class ListSample {
-    /** The one kind of its endpoints. */
+    /** The destination kind of all its endpoints. */
     static final String KIND = "m2";
 
     private static final int ZONES = 9;
-    /** The same in each line: a list of the version in force is applied. */
+    /** The same version in each line: a list with the version already applied is applied again. */
     private static final int VERSION = 41;
 
     private static final int FIRST_PORT = 1024;
     private static final int PORTS = 60_000;
-    private static final long NAMES_SEED = 11;
+    private static final long HOST_NAMES_SEED = 11;
     private static final long BORN_MS = 1_790_000_000_000L;
 
     private ListSample() {}
 
-    /** One line, without its end, that names the endpoints of so many destinations. */
+    /** One line without its newline that lists the endpoints of this many destinations. */
     static String wholeList(final int destinations) {
         final ObjectNode list = list(true);
         final ArrayNode hosts = list.putArray("hosts");
-        final SplittableRandom names = new SplittableRandom(NAMES_SEED);
+        final SplittableRandom names = new SplittableRandom(HOST_NAMES_SEED);
         final int count = (int) Math.round(DecisionFixture.ENDPOINTS_PER_DESTINATION * destinations);
         for (int index = 0; index < count; index++) {
             writeEndpoint(hosts.addObject(), names, index, destinations, "Ready");
@@ -34,15 +34,16 @@
         return list.toString();
     }
 
-    /** As above, with its end, as it comes from the watch. */
+    /** As above, with its newline, as the watch delivers it. */
     static byte[] wholeListBytes(final int destinations) {
         return (wholeList(destinations) + "\n").getBytes(StandardCharsets.UTF_8);
     }
 
-    /** A line, with its end, that tells a health of the first endpoint. */
+    /** A line with its newline that announces this health for the first endpoint. */
     static byte[] change(final int destinations, final String health) {
         final ObjectNode list = list(false);
-        writeEndpoint(list.putArray("hosts").addObject(), new SplittableRandom(NAMES_SEED), 0, destinations, health);
+        writeEndpoint(
+                list.putArray("hosts").addObject(), new SplittableRandom(HOST_NAMES_SEED), 0, destinations, health);
         return (list + "\n").getBytes(StandardCharsets.UTF_8);
     }
 
--- a/src/main/java/railspar/scale/slope/ListSeries.java
+++ b/src/main/java/railspar/scale/slope/ListSeries.java
@@ -15,59 +15,59 @@
 import java.util.stream.Stream;
 
 /**
- * Bytes, processor time and heap of a whole list: read as one line and one JSON tree, as {@code Discovery} did once,
- * for comparison; and read as a stream into the packed table with its stored copy, as it does now. Its steps are
- * repeated here because that class needs an event loop and a host.
+ * Bytes, processor time and heap of a whole list, read in two ways: as a stream into the packed table with its stored
+ * copy, as {@code Discovery} does, and for comparison as one line and one JSON tree. The steps of {@code Discovery}
+ * are repeated here because that class needs an event loop and a host.
  */
 final class ListSeries {
-    private static final List<Integer> LISTED = List.of(100, 5000, 20_000, 45_000);
+    private static final List<Integer> LISTED_SIZES = List.of(100, 5000, 20_000, 45_000);
     private static final int TARGET_DESTINATIONS = 45_000;
-    /** The end of a whole list's line: of its entries, of the list, of the line. */
+    /** Length of the end of a whole list's line: the end of its entries, of the JSON object and of the line. */
     private static final int END_BYTES = "]}\n".length();
 
     private static final String SIZE_UNIT = "destinations in the list";
 
     private ListSeries() {}
 
-    /** The series of both ways. */
+    /** The series of both ways of reading. */
     static List<Series> list() {
         return Stream.of(tree(), table(), copy()).flatMap(List::stream).toList();
     }
 
-    /** One line and tree: its length, its parsing, the heap while it is parsed, and the search for what has gone. */
+    /** One line and tree: length, parsing, heap while parsed, and the search for removed endpoints. */
     private static List<Series> tree() {
         return List.of(
                 new Series(
                         "list-bytes",
                         SIZE_UNIT,
                         "bytes of JSON",
-                        LISTED,
+                        LISTED_SIZES,
                         TARGET_DESTINATIONS,
                         size -> ListSample.wholeList(size).getBytes(StandardCharsets.UTF_8).length),
                 new Series(
                         "list-parse-tree",
                         SIZE_UNIT,
                         "us of processor per whole list",
-                        LISTED,
+                        LISTED_SIZES,
                         TARGET_DESTINATIONS,
                         ListSeries::parseMicros),
                 new Series(
                         "list-heap-tree",
                         SIZE_UNIT,
                         "bytes of heap while the line and its tree are held",
-                        LISTED,
+                        LISTED_SIZES,
                         TARGET_DESTINATIONS,
                         size -> HeapUse.bytesHeldBy(() -> lineAndTree(size))),
                 new Series(
                         "list-gone-search",
                         SIZE_UNIT,
                         "us of processor per whole list",
-                        LISTED,
+                        LISTED_SIZES,
                         TARGET_DESTINATIONS,
-                        ListSeries::goneSearchMicros));
+                        ListSeries::removedSearchMicros));
     }
 
-    /** The packed table: reading a whole list into it, the heap it takes, and a change. */
+    /** The packed table: reading a whole list into it, its heap, and a change. */
     private static List<Series> table() {
         return List.of(
                 series(
@@ -105,7 +105,7 @@
     }
 
     private static Series series(final String name, final String unit, final Series.Measurement measurement) {
-        return new Series(name, SIZE_UNIT, unit, LISTED, TARGET_DESTINATIONS, measurement);
+        return new Series(name, SIZE_UNIT, unit, LISTED_SIZES, TARGET_DESTINATIONS, measurement);
     }
 
     private static double firstMicros(final int destinations) {
@@ -119,7 +119,7 @@
         return ProcessorTime.microsPerCall(() -> list.feed(line));
     }
 
-    /** A table in force, with a parser that has all of a further whole list but its end. */
+    /** A filled table whose parser has read all of a second whole list but its end. */
     private static ListTable halfRead(final int destinations) {
         final byte[] line = ListSample.wholeListBytes(destinations);
         final ListTable list = ListTable.of(destinations);
@@ -131,15 +131,15 @@
         return ProcessorTime.microsPerCall(changes(destinations, ListTable.of(destinations)::feed));
     }
 
-    /** Tells that the first endpoint drains and that it is ready again, by turns. */
-    private static Runnable changes(final int destinations, final Consumer<byte[]> watch) {
-        final byte[] drains = ListSample.change(destinations, "Terminating");
-        final byte[] ready = ListSample.change(destinations, "Ready");
+    /** Announces alternately that the first endpoint drains and that it is ready again. */
+    private static Runnable changes(final int destinations, final Consumer<byte[]> receiver) {
+        final byte[] drainingLine = ListSample.change(destinations, "Terminating");
+        final byte[] readyLine = ListSample.change(destinations, "Ready");
         final AtomicBoolean isDraining = new AtomicBoolean();
         return () -> {
             final boolean draining = !isDraining.get();
             isDraining.set(draining);
-            watch.accept(draining ? drains : ready);
+            receiver.accept(draining ? drainingLine : readyLine);
         };
     }
 
@@ -165,19 +165,19 @@
         try {
             return new ObjectMapper().readTree(line);
         } catch (final JsonProcessingException e) {
-            throw new IllegalStateException("the sample is not JSON", e);
+            throw new IllegalStateException("the sample list is not valid JSON", e);
         }
     }
 
-    /** A whole list over one that is held: each entry is searched for among all that may have gone, and removed. */
-    private static double goneSearchMicros(final int destinations) {
-        final Set<Long> held = new LinkedHashSet<>();
+    /** Applies a whole list over an identical one: finds and removes each entry among the candidates for removal. */
+    private static double removedSearchMicros(final int destinations) {
+        final Set<Long> listed = new LinkedHashSet<>();
         final long endpoints = Math.round(DecisionFixture.ENDPOINTS_PER_DESTINATION * destinations);
-        LongStream.rangeClosed(1, endpoints).forEach(held::add);
+        LongStream.rangeClosed(1, endpoints).forEach(listed::add);
         return ProcessorTime.microsOnce(() -> {
-            final List<Long> gone = new ArrayList<>(held);
-            for (final Long id : held) {
-                gone.remove(id);
+            final List<Long> removalCandidates = new ArrayList<>(listed);
+            for (final Long id : listed) {
+                removalCandidates.remove(id);
             }
         });
     }
--- a/src/main/java/railspar/scale/slope/ListTable.java
+++ b/src/main/java/railspar/scale/slope/ListTable.java
@@ -12,39 +12,39 @@
 import railspar.list.TableUpdate;
 
 /**
- * The courier's table of endpoints, kept up to date by its parser from the bytes of the protocol, and looked up by
- * the decisions as in {@code Discovery}. Nothing is held but the table and the parser.
+ * The courier's endpoint table, updated by the courier's parser from the bytes of the protocol. The decision module
+ * looks up endpoints in it as in {@code Discovery}. It holds only the table and the parser.
  */
 final class ListTable implements Courier.Directory {
-    /** The place of the sample's one kind of endpoint. */
+    /** The index of the only destination kind of the sample. */
     private static final int KIND_INDEX = 0;
-    /** Heap for what has been read of a list that is not whole yet. */
+    /** Heap for the entries of a list that is not complete yet. */
     private static final long STAGING_BYTES = 64L << 20;
-    /** Bytes that a socket gives at once. */
+    /** Size of one read from a socket. */
     private static final int CHUNK_BYTES = 1 << 14;
 
     private final EndpointTable table = new EndpointTable();
     private final TableUpdate.Listener changes;
-    private final ListParser parser = new ListParser(STAGING_BYTES, new Lists());
+    private final ListParser parser = new ListParser(STAGING_BYTES, new ListApplier());
 
-    /** Without an endpoint; the listener hears what each list changes. */
+    /** Creates an empty table; the listener is notified of the changes of each list. */
     ListTable(final TableUpdate.Listener changes) {
         this.changes = changes;
     }
 
-    /** Holds the list of so many destinations. */
+    /** Creates a table with the sample list of this many destinations. */
     static ListTable of(final int destinations) {
         final ListTable list = new ListTable(new IgnoredChanges());
         list.feed(ListSample.wholeListBytes(destinations));
         return list;
     }
 
-    /** Takes bytes of the watch; what becomes whole by them is in force. */
+    /** Reads bytes of the watch and applies each list that they complete. */
     void feed(final byte[] bytes) {
         feed(bytes, bytes.length);
     }
 
-    /** Takes the first of these bytes, in pieces of their own: the parser keeps hold of the last one. */
+    /** Reads the first {@code length} bytes, in chunks that are copies, because the parser keeps the last chunk. */
     void feed(final byte[] bytes, final int length) {
         try {
             for (int from = 0; from < length; from += CHUNK_BYTES) {
@@ -52,7 +52,7 @@
                 parser.feed(chunk, 0, chunk.length);
             }
         } catch (final IOException e) {
-            throw new UncheckedIOException("the sample cannot be read", e);
+            throw new UncheckedIOException("the parser cannot read the sample list", e);
         }
     }
 
@@ -76,8 +76,8 @@
                 id, table.conditionOf(id), table.zoneOf(id), table.weightOf(id), KIND_INDEX, table.destinationOf(id));
     }
 
-    /** Puts each whole object into force. */
-    private final class Lists implements ListParser.Listener {
+    /** Applies each complete list. */
+    private final class ListApplier implements ListParser.Listener {
         @Override
         public void onList(final StagedList list) throws IOException {
             TableUpdate.apply(table, list, changes);
@@ -85,30 +85,30 @@
 
         @Override
         public void onHeartbeat() {
-            // Nothing has changed.
+            // A heartbeat changes nothing.
         }
 
         @Override
         public void onUnusableEntry(final String problem) {
-            throw new IllegalStateException("an entry of the sample cannot be used: " + problem);
+            throw new IllegalStateException("an entry of the sample list is unusable: " + problem);
         }
     }
 
-    /** For a table that tells nobody what changed. */
+    /** A listener that ignores the changes. */
     static class IgnoredChanges implements TableUpdate.Listener {
         @Override
         public void onEntry(final long endpoint, final TableUpdate.Change change) {
-            // Looked up in the table when it is needed.
+            // Readers look up endpoints in the table.
         }
 
         @Override
         public void onRemoved(final long endpoint) {
-            // As above.
+            // Readers look up endpoints in the table.
         }
 
         @Override
         public void onUnusableEntry(final String problem) {
-            throw new IllegalStateException("an entry of the sample cannot be used: " + problem);
+            throw new IllegalStateException("an entry of the sample list is unusable: " + problem);
         }
     }
 }
--- a/src/main/java/railspar/scale/slope/ProcessorTime.java
+++ b/src/main/java/railspar/scale/slope/ProcessorTime.java
@@ -3,18 +3,18 @@
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
 
-/** Processor time of the calling thread: on a shared machine it varies far less than elapsed time. */
+/** Processor time of the calling thread, which varies far less than elapsed time on a shared machine. */
 public final class ProcessorTime {
     private static final int WARM_UP_CALLS = 20;
-    private static final int LEAST_CALLS = 10;
-    private static final long LEAST_NANOS = 200_000_000;
+    private static final int MIN_CALLS = 10;
+    private static final long MIN_NANOS = 200_000_000;
     private static final double NANOS_PER_MICRO = 1000;
 
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
     private ProcessorTime() {}
 
-    /** Microseconds that one call takes on average, after some unmeasured ones, over at least 0.2 s of them. */
+    /** Average microseconds of one call, over at least 10 calls and 0.2 s, after 20 unmeasured warm-up calls. */
     public static double microsPerCall(final Runnable operation) {
         for (int call = 0; call < WARM_UP_CALLS; call++) {
             operation.run();
@@ -22,7 +22,7 @@
         final long beginNanos = THREADS.getCurrentThreadCpuTime();
         long spentNanos = 0;
         int calls = 0;
-        while (calls < LEAST_CALLS || spentNanos < LEAST_NANOS) {
+        while (calls < MIN_CALLS || spentNanos < MIN_NANOS) {
             operation.run();
             calls++;
             spentNanos = THREADS.getCurrentThreadCpuTime() - beginNanos;
@@ -30,7 +30,7 @@
         return spentNanos / NANOS_PER_MICRO / calls;
     }
 
-    /** Microseconds that a single call takes; for what cannot be repeated on the same state. */
+    /** Microseconds of a single call, for an operation that cannot be repeated on the same state. */
     public static double microsOnce(final Runnable operation) {
         final long beginNanos = THREADS.getCurrentThreadCpuTime();
         operation.run();
--- a/src/main/java/railspar/scale/slope/SeriesResult.java
+++ b/src/main/java/railspar/scale/slope/SeriesResult.java
@@ -4,18 +4,18 @@
 import java.util.List;
 
 /**
- * A series as measured: for each size the rounds, their median, and the line through the medians.
+ * The result of a series: the figures of all rounds for each size, their median, and the line fitted to the medians.
  *
- * @param name the series
+ * @param name the name of the series
  * @param sizeUnit what the sizes count
  * @param valueUnit the unit of the figures
  * @param points the figures by size
- * @param fit the line through the medians
- * @param targetSize the size to which the line is carried
- * @param atTarget the line's value there
- * @param extrapolation how many times the largest measured size that is
- * @param growthExponent the power of the size with which the median grows between the two largest sizes: 1 for a
- * line, 2 for a square; NaN where a median is not above 0
+ * @param fit the line fitted to the medians
+ * @param targetSize the size to which the line is extrapolated
+ * @param atTarget the line's value at that size
+ * @param extrapolation the target size divided by the largest measured size
+ * @param growthExponent the exponent with which the median grows with size between the two largest sizes: 1 for
+ *     linear growth, 2 for quadratic growth; NaN if either median is not above 0
  */
 public record SeriesResult(
         String name,
@@ -28,7 +28,7 @@
         double extrapolation,
         double growthExponent) {
 
-    /** One size: the figures of all rounds, in the order taken, with their median and extremes. */
+    /** One size: the figures of all rounds in the order measured, with their median, minimum and maximum. */
     public record Point(int size, List<Double> rounds, double median, double least, double most) {
         private static Point of(final int size, final List<Double> rounds) {
             final List<Double> sorted = rounds.stream().sorted().toList();
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Measures a series: in each round every size once, so that a disturbance does not fall on one size alone. */
+    /** Measures a series. Each round measures every size once, so that a disturbance does not affect one size only. */
     static SeriesResult measure(final Series series, final List<Integer> sizes, final int rounds) {
         final List<List<Double>> figures = new ArrayList<>();
         sizes.forEach(size -> figures.add(new ArrayList<>()));
@@ -74,7 +74,7 @@
                 : Math.log(larger.median() / smaller.median()) / Math.log((double) larger.size() / smaller.size());
     }
 
-    /** The result as a table for a terminal. */
+    /** The result as a text table. */
     String table() {
         final StringBuilder text = new StringBuilder();
         text.append(String.format("%s: %s, against %s%n", name, valueUnit, sizeUnit));
--- a/src/main/java/railspar/scale/slope/SlopeCatalog.java
+++ b/src/main/java/railspar/scale/slope/SlopeCatalog.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** The slopes that can be asked for by name. */
+/** The slopes that the command line can select by name. */
 final class SlopeCatalog {
     private SlopeCatalog() {}
 
-    /** All slopes that need nothing but what is public. */
+    /** All slopes that need only public classes. */
     static Map<String, List<Series>> all() {
         final Map<String, List<Series>> series = new LinkedHashMap<>();
         series.put("decisions", DecisionSeries.decisions());
--- a/src/main/java/railspar/scale/slope/SlopeCommand.java
+++ b/src/main/java/railspar/scale/slope/SlopeCommand.java
@@ -23,54 +23,59 @@
         mixinStandardHelpOptions = true,
         description = "Measures in process how a cost grows with size, and fits a line by least squares.")
 public final class SlopeCommand implements Callable<Integer> {
-    /** Fewer sizes say nothing of whether the growth is a line. */
-    static final int LEAST_SIZES = 4;
+    /** Fewer sizes do not show whether the growth is linear. */
+    static final int MIN_SIZES = 4;
 
     @Spec
     private CommandSpec spec;
 
-    @Parameters(paramLabel = "NAME", description = "Which slope; an unknown name is answered with the known ones.")
+    @Parameters(
+            paramLabel = "NAME",
+            description = "Name of the slope; an unknown name gives an error that lists the known ones.")
     private String name;
 
     @Option(
             names = "--sizes",
             split = ",",
             paramLabel = "N",
-            description = "Four sizes or more, in place of the usual.")
+            description = "Four or more sizes, in place of the default sizes.")
     private List<Integer> sizes;
 
-    @Option(names = "--rounds", defaultValue = "3", description = "Times that each size is measured (default: 3).")
+    @Option(names = "--rounds", defaultValue = "3", description = "Number of measurements of each size (default: 3).")
     private int rounds;
 
-    @Option(names = "--commit", defaultValue = "unknown", description = "The code measured, for the result.")
+    @Option(
+            names = "--commit",
+            defaultValue = "unknown",
+            description = "Commit of the measured code, recorded in the result.")
     private String commit;
 
-    @Option(names = "--json", paramLabel = "FILE", description = "Where to write the result as JSON.")
+    @Option(names = "--json", paramLabel = "FILE", description = "File for the result as JSON.")
     private Path json;
 
     private final Map<String, List<Series>> slopes;
 
-    /** With the slopes of this package. */
+    /** Creates the command with the slopes of this package. */
     public SlopeCommand() {
         this(SlopeCatalog.all());
     }
 
-    /** With slopes of the caller's, by their names. */
+    /** Creates the command with the given slopes, by their names. */
     public SlopeCommand(final Map<String, List<Series>> slopes) {
         this.slopes = new TreeMap<>(slopes);
     }
 
-    /** Runs the command by itself. */
+    /** Runs this command alone. */
     public static void main(final String[] args) {
         System.exit(new CommandLine(new SlopeCommand()).execute(args));
     }
 
     @Override
     public Integer call() throws IOException {
-        final List<Series> chosen = chosen();
+        final List<Series> selectedSeries = selectedSeries();
         final PrintWriter out = spec.commandLine().getOut();
         final List<SeriesResult> results = new ArrayList<>();
-        for (final Series series : chosen) {
+        for (final Series series : selectedSeries) {
             final List<Integer> measured = sizes == null ? series.sizes() : sorted(sizes);
             final SeriesResult result = SeriesResult.measure(series, measured, rounds);
             results.add(result);
@@ -84,21 +89,21 @@
         return CommandLine.ExitCode.OK;
     }
 
-    private List<Series> chosen() {
-        final List<Series> chosen = slopes.get(name);
-        require(chosen != null, "no slope is named '" + name + "'; there are " + slopes.keySet());
+    private List<Series> selectedSeries() {
+        final List<Series> selectedSeries = slopes.get(name);
+        require(selectedSeries != null, "no slope is named '" + name + "'; the known names are " + slopes.keySet());
         require(rounds >= 1, "--rounds must be at least 1, not " + rounds);
         if (sizes != null) {
             require(
-                    sizes.stream().distinct().count() >= LEAST_SIZES,
-                    "--sizes needs at least " + LEAST_SIZES + " different sizes, not " + sizes);
+                    sizes.stream().distinct().count() >= MIN_SIZES,
+                    "--sizes needs at least " + MIN_SIZES + " different sizes, not " + sizes);
             require(sizes.stream().allMatch(size -> size > 0), "--sizes must all be above 0, not " + sizes);
         }
-        return chosen;
+        return selectedSeries;
     }
 
-    private void require(final boolean kept, final String problem) {
-        if (!kept) {
+    private void require(final boolean satisfied, final String problem) {
+        if (!satisfied) {
             throw new ParameterException(spec.commandLine(), problem);
         }
     }
--- a/src/main/java/railspar/scale/slope/SlopeReport.java
+++ b/src/main/java/railspar/scale/slope/SlopeReport.java
@@ -8,17 +8,17 @@
 import java.util.List;
 
 /**
- * What a slope command measured, and on what.
+ * The results of a slope command, with the code and the machine that were measured.
  *
- * @param commit the code that was measured, as the caller told
+ * @param commit the commit of the measured code, as given by the caller
  * @param javaVersion the version of the Java runtime
- * @param processors processors of the machine
- * @param rounds how often each size was measured
- * @param series the results
+ * @param processors number of processors of the machine
+ * @param rounds number of measurements of each size
+ * @param series the results of each series
  */
 public record SlopeReport(String commit, String javaVersion, int processors, int rounds, List<SeriesResult> series) {
 
-    /** Writes it as JSON, in place of what the file held. */
+    /** Writes the report as JSON and replaces an existing file. */
     void writeTo(final Path file) throws IOException {
         if (file.toAbsolutePath().getParent() != null) {
             Files.createDirectories(file.toAbsolutePath().getParent());
--- a/src/main/java/railspar/scale/slope/StoredListSample.java
+++ b/src/main/java/railspar/scale/slope/StoredListSample.java
@@ -8,16 +8,16 @@
 import railspar.list.ListStore;
 import railspar.list.TableUpdate;
 
-/** A list with its copy in a folder, which goes when it is closed. */
+/** An endpoint list with its stored copy in a temporary folder, which {@link #close} deletes. */
 final class StoredListSample implements AutoCloseable {
     private static final long FINGERPRINT = 1;
-    private static final long ROOM_BYTES = 1L << 30;
+    private static final long MAX_BYTES = 1L << 30;
 
     private final Path folder;
     private final ListStore store;
     private final ListTable list;
 
-    /** With a copy of the list of so many destinations. */
+    /** Stores a copy of the sample list of this many destinations. */
     StoredListSample(final int destinations) {
         try {
             folder = Files.createTempDirectory("stored-list");
@@ -25,16 +25,16 @@
             throw new UncheckedIOException(e);
         }
         store = newStore();
-        list = new ListTable(new KeptChanges());
+        list = new ListTable(new StoredChanges());
         store.takeOwnership(list.table());
         change(ListSample.wholeListBytes(destinations));
     }
 
     private ListStore newStore() {
-        return new ListStore(folder, FINGERPRINT, ROOM_BYTES, message -> {});
+        return new ListStore(folder, FINGERPRINT, MAX_BYTES, message -> {});
     }
 
-    /** Writes the whole copy anew, as the first process in a folder does. */
+    /** Rewrites the whole copy, as the first process in a folder does. */
     void writeAll() {
         final ListStore fresh = newStore();
         fresh.takeOwnership(list.table());
@@ -45,25 +45,25 @@
         fresh.releaseOwnership();
     }
 
-    /** Takes a list from the watch's bytes and appends what it changes to the copy, or writes the copy anew. */
+    /** Reads a list from bytes of the watch, and appends its changes to the copy or rewrites the copy. */
     void change(final byte[] line) {
         list.feed(line);
         store.commit(list.table());
-        writeBase();
+        writeAllSlices();
     }
 
-    private void writeBase() {
+    private void writeAllSlices() {
         while (store.isWriting()) {
             store.writeSlice(list.table());
         }
     }
 
-    /** Reads the copy as a start does; the result counts its endpoints. */
+    /** Loads the copy as a start does; returns the number of its endpoints. */
     int load() {
         return newStore().load(0).size();
     }
 
-    /** Bytes of the copy. */
+    /** Size of the copy in bytes. */
     long bytes() {
         long bytes = 0;
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
@@ -89,8 +89,8 @@
         }
     }
 
-    /** Gives the store what a list changes, as {@code Discovery} does. */
-    private final class KeptChanges extends ListTable.IgnoredChanges {
+    /** Passes the changes of a list to the store, as {@code Discovery} does. */
+    private final class StoredChanges extends ListTable.IgnoredChanges {
         @Override
         public void onEntry(final long endpoint, final TableUpdate.Change change) {
             if (change != TableUpdate.Change.SAME && change != TableUpdate.Change.GONE) {
--- a/src/main/java/railspar/scale/slope/package-info.java
+++ b/src/main/java/railspar/scale/slope/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Measures in process how a courier's cost grows: a figure at several sizes, with the straight line that fits it
- * best. Nothing here is loaded by a courier that serves.
+ * Measures in process how the costs of a courier grow with size: each figure at several sizes, with the straight line
+ * that fits it best. A courier process does not load these classes.
  */
 package railspar.scale.slope;
--- a/src/test/java/railspar/scale/slope/DecisionFixtureTest.java
+++ b/src/test/java/railspar/scale/slope/DecisionFixtureTest.java
@@ -7,43 +7,43 @@
 import org.junit.jupiter.api.Test;
 import railspar.Courier;
 
-/** What the measurements of the decision module stand on: messages wait when they are meant to, and only then. */
+/** Tests what the decision measurements rely on: messages wait for paused destinations, and only for those. */
 final class DecisionFixtureTest {
     private static final int DESTINATIONS = 20;
 
     @Test
-    void aClosedDestinationIsNeverSentTo() {
+    void startsNoCallBeforeTheRetryAfterExpires() {
         final DecisionFixture fixture = new DecisionFixture(DESTINATIONS);
-        fixture.closeAll();
-        fixture.take(3 * DESTINATIONS, DESTINATIONS);
+        fixture.pauseAllDestinations();
+        fixture.accept(3 * DESTINATIONS, DESTINATIONS);
         for (int decision = 0; decision < 100; decision++) {
-            fixture.decideSoon();
+            fixture.decideMicrosecondLater();
         }
-        assertEquals(0, fixture.sent());
+        assertEquals(0, fixture.callCount());
     }
 
     @Test
-    void anOpenDestinationIsSentTo() {
+    void startsOneCallForEachAvailableDestination() {
         final DecisionFixture fixture = new DecisionFixture(DESTINATIONS);
-        fixture.take(DESTINATIONS, DESTINATIONS);
-        assertEquals(DESTINATIONS, fixture.sent(), "one call for each destination");
+        fixture.accept(DESTINATIONS, DESTINATIONS);
+        assertEquals(DESTINATIONS, fixture.callCount(), "one call for each destination");
     }
 
     @Test
-    void aBacklogStaysAsLargeWhileItIsTriedOrDrained() {
+    void keepsTheBacklogSizeWhileCallsComplete() {
         for (final Courier.Result result : List.of(Courier.Result.NO_CONNECTION, Courier.Result.DELIVERED)) {
             final DecisionFixture fixture = new DecisionFixture(1, 1);
-            fixture.take(DESTINATIONS, 1);
+            fixture.accept(DESTINATIONS, 1);
             for (int call = 0; call < 100; call++) {
-                fixture.endOneCall(result);
+                fixture.completeOneCall(result);
             }
-            assertTrue(fixture.sent() >= 100, result + ": " + fixture.sent());
-            assertEquals(DESTINATIONS, fixture.waitingOrOut(), result.toString());
+            assertTrue(fixture.callCount() >= 100, result + ": " + fixture.callCount());
+            assertEquals(DESTINATIONS, fixture.openMessages(), result.toString());
         }
     }
 
     @Test
-    void theListHasTheTargetsShareOfEndpoints() {
+    void sampleListHasTheTargetsEndpointsPerDestination() {
         assertEquals(76_500, ListTable.of(45_000).table().size());
         assertEquals(45_000, ListTable.of(45_000).table().destinationCount());
         final var listed = ListSample.wholeList(100);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aDestinationIsLookedUpInTheTable() {
+    void looksUpTheEndpointsOfADestination() {
         final ListTable list = ListTable.of(DESTINATIONS);
         final List<Courier.Endpoint> endpoints = list.endpointsOf(3);
         assertEquals(2, endpoints.size(), "34 endpoints for 20 destinations");
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aChangeTellsTheHealthOfTheFirstEndpoint() {
+    void changeSetsTheHealthOfTheFirstEndpoint() {
         final ListTable list = ListTable.of(DESTINATIONS);
         final Courier.Endpoint before = list.endpointsOf(0).get(0);
         list.feed(ListSample.change(DESTINATIONS, "Terminating"));
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void aStoredCopyHoldsAllEndpointsAfterChanges() {
+    void storedCopyHasAllEndpointsAfterChanges() {
         try (StoredListSample copy = new StoredListSample(DESTINATIONS)) {
             assertEquals(34, copy.load());
             final long bytes = copy.bytes();
--- a/src/test/java/railspar/scale/slope/SlopeCommandTest.java
+++ b/src/test/java/railspar/scale/slope/SlopeCommandTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import picocli.CommandLine;
 
-/** The arguments of the command, and one small run to its end. */
+/** Tests the arguments of the command and one small complete run. */
 final class SlopeCommandTest {
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
@@ -43,31 +43,31 @@
                 "state step",
                 "state --unheard-of"
             })
-    void badArgumentsGetAClearErrorAndExitCodeTwo(final String line) {
+    void invalidArgumentsGiveAnErrorAndExitCodeTwo(final String line) {
         assertEquals(2, run(line.isEmpty() ? new String[0] : line.split(" ")));
         assertTrue(!err.toString().isBlank(), "an error says what is wrong");
         assertTrue(out.toString().isEmpty(), "nothing is measured");
     }
 
     @Test
-    void anUnknownNameIsToldWithTheKnownOnes() {
+    void errorForAnUnknownNameListsTheKnownNames() {
         run("unheard-of");
         assertTrue(err.toString().contains("no slope is named 'unheard-of'"), err.toString());
         SlopeCatalog.all().keySet().forEach(name -> assertTrue(err.toString().contains(name), name));
     }
 
     @Test
-    void aCallerMayBringItsOwnSlopes() {
+    void acceptsSlopesOfTheCaller() {
         final Series doubled = new Series("doubled", "items", "units", List.of(1, 2, 3, 4), 10, size -> 2.0 * size);
         final CommandLine command =
                 new CommandLine(new SlopeCommand(Map.of("own", List.of(doubled)))).setOut(new PrintWriter(out));
         assertEquals(0, command.execute("own", "--rounds", "1"));
         assertTrue(out.toString().contains("fit: 0.0 + 2.0000 per unit of size"), out.toString());
-        assertEquals(2, command.setErr(new PrintWriter(err)).execute("state"), "others are not known then");
+        assertEquals(2, command.setErr(new PrintWriter(err)).execute("state"), "only the given slopes are known");
     }
 
     @Test
-    void aSmallRunEndsAndWritesItsResult(@TempDir final Path folder) throws IOException {
+    void smallRunWritesItsResultAsJson(@TempDir final Path folder) throws IOException {
         final Path file = folder.resolve("results/state.json");
         assertEquals(
                 0,
