--- a/src/main/java/railspar/node/MessageService.java
+++ b/src/main/java/railspar/node/MessageService.java
@@ -211,7 +211,7 @@
             }
         } catch (final IOException e) {
             Log.info("cannot store the override of endpoint " + host + ": " + e.getMessage());
-            return "cannot store the override: " + e.getMessage();
+            return "cannot write it down: " + e.getMessage();
         }
         readOverrides();
         return null;
