--- a/src/main/java/railspar/Control.java
+++ b/src/main/java/railspar/Control.java
@@ -118,7 +118,7 @@
     private static final double MIN_QUEUE_RATE_PER_S = 0.25;
     /** Time without calls to a failed endpoint; after it, a failure in a row counts as a call in flight. */
     private static final long ENDPOINT_AVOID_US = SECOND_US;
-    /** A failure's weight in a large fleet, which multiplies the calls each makes until sure of an outage. */
+    /** Weight of a failure in a large fleet, as its size multiplies the calls made to detect an outage. */
     private static final double LARGE_FLEET_FAILURE_WEIGHT = 1.5;
     /** Share by which intervals are randomly longer or shorter, so that couriers do not synchronize. */
     private static final double JITTER_SHARE = 0.2;
@@ -509,8 +509,9 @@
         return Math.max(phaseUs, Math.max(route.retryAfterUntilUs, route.backoffUntilUs));
     }
 
-    /** This courier's part of a limit: under the even part, so that a limit used up by refusals recovers. */
+    /** This courier's part of a limit: if used up, under the even part, so that refusals let it recover. */
     private double limitPart(final Route route) {
+        // It grows with what remained at the last report, and with what may have been refilled since.
         final double refill = REFILL_PER_S / settings.fleetSize() * (nowUs - route.reportedUs) / SECOND_US;
         final double more =
                 MORE_LIMIT_PARTS * Math.pow(Math.min(1, route.remainingShare + refill), LIMIT_PART_EXPONENT);
@@ -899,6 +900,7 @@
         }
     }
 
+    /** Counts overdue calls whose endpoint has had no success since they were sent: it may be silent. */
     private int overdueCalls(final Route route) {
         int count = 0;
         for (final Call call : route.calls) {
@@ -911,11 +913,9 @@
         return count;
     }
 
-    /**
-     * While all slots are taken and a HEALTHY route could use one, cancels the oldest overdue call, so that
-     * hung, stalled or very slow calls do not take all slots. The cost: it might still have been answered.
-     */
+    /** While all slots are taken and a HEALTHY route could use one, cancels the oldest overdue call. */
     private void reclaimSlot() {
+        // Hung, stalled or very slow calls must not take all slots. The cost: it might still be answered.
         if (inFlight < limits.maxCalls() || !limits.canCancel()) {
             return;
         }
@@ -948,11 +948,9 @@
         return SECOND_US / Math.max(route.servedRate, limit / settings.fleetSize());
     }
 
-    /**
-     * Time of the next probe: at any moment as likely as the share that overloads a cold destination, divided
-     * by the age of the outage. So all couriers' probes, however many, stay near that share of the messages.
-     */
+    /** Time of the next probe: probes have a rate of overloadShare(0) divided by the age of the outage. */
     private long probeTimeUs(final Route route) {
+        // So all couriers' probes, however many, stay near that share (it overloads a cold destination).
         final long fromUs = Math.max(nowUs, route.retryAfterUntilUs);
         final double ageUs = Math.max(MIN_BACKOFF_US, fromUs - route.failingSinceUs);
         final double gapUs = ageUs * (Math.pow(1 - random.nextDouble(), -1 / overloadShare(0)) - 1);
@@ -1164,6 +1162,7 @@
         return new Route(kind, settings.fleetSize() <= SMALL_FLEET ? INITIAL_WINDOW : LARGE_FLEET_WINDOW);
     }
 
+    /** Subscribes to the list where it must be requested: once at the start, and again after a loss. */
     private void subscribeIfDue() {
         if (settings.listOnRequest() && (listRetryUs == NEVER ? !subscribed : nowUs >= listRetryUs)) {
             subscribed = true;
