--- a/src/test/java/railspar/ControlTest.java
+++ b/src/test/java/railspar/ControlTest.java
@@ -397,9 +397,9 @@
      */
     @Test
     void fleetStaysUnderALimitOfWhichNothingIsLeft() {
-        final long spent = callsOfFourteen(0, 1, 11);
-        assertTrue(spent <= 160, "calls over the limit: " + spent);
-        assertTrue(spent >= 0.7 * 160, "calls, too few for the limit: " + spent);
+        final long calls = callsOfFourteen(0, 1, 11);
+        assertTrue(calls <= 160, "calls over the limit: " + calls);
+        assertTrue(calls >= 0.7 * 160, "calls, too few for the limit: " + calls);
         assertTrue(callsOfFourteen(1, 0, 3) >= 2 * callsOfFourteen(0, 0, 3), "more calls if all of the limit is left");
     }
 
