--- a/src/main/java/railspar/Control.java
+++ b/src/main/java/railspar/Control.java
@@ -509,9 +509,10 @@
         return Math.max(phaseUs, Math.max(route.retryAfterUntilUs, route.backoffUntilUs));
     }
 
-    /** This courier's part of a limit: if used up, under the even part, so that refusals let it recover. */
+    /** This courier's part of a limit: if used up, a bit under the even part, so that the limit recovers. */
     private double limitPart(final Route route) {
         // It grows with what remained at the last report, and with what may have been refilled since.
+        // Refused calls use up the limit, too.
         final double refill = REFILL_PER_S / settings.fleetSize() * (nowUs - route.reportedUs) / SECOND_US;
         final double more =
                 MORE_LIMIT_PARTS * Math.pow(Math.min(1, route.remainingShare + refill), LIMIT_PART_EXPONENT);
--- a/src/main/java/railspar/node/OperatorOverrides.java
+++ b/src/main/java/railspar/node/OperatorOverrides.java
@@ -21,7 +21,7 @@
  * enabled again is kept for as long as the endpoint may be cold; its modification time is the time of the enabling.
  */
 final class OperatorOverrides {
-    /** Stands in place of a time: the endpoint is disabled. */
+    /** Replaces the time of enabling for an endpoint that is disabled. */
     static final long DISABLED = Long.MAX_VALUE;
 
     private static final String FOLDER = "out";
